--- a/gullmount/decisions/affinity.py
+++ b/gullmount/decisions/affinity.py
@@ -128,4 +128,4 @@
             }
         if len(self.last_build_by_key) > MAX_REMEMBERED_KEYS / 2:
             self.last_build_by_key = {}
-            self.releases.newest.widest_share = 1.0
+            self.releases.newest.peak_traffic_share = 1.0
--- a/gullmount/decisions/attribution/views.py
+++ b/gullmount/decisions/attribution/views.py
@@ -10,7 +10,7 @@
 from typing import Protocol, TypeVar
 
 from gullmount.decisions.model import ReleasePhase
-from gullmount.decisions.releases import Ballot
+from gullmount.decisions.releases import VotingState
 
 
 class ServerView(Protocol):
@@ -37,7 +37,7 @@
     exposure_limit: float  # highest share that its stage allows, 0 to 1
     limit_factor: float  # of the exposure limit; attribution sets it
     failing_routes: set[str]  # attribution adds to it
-    ballot: Ballot  # holds the vote cast last
+    voting_state: VotingState  # holds the vote cast last
 
 
 AnyCandidate = TypeVar("AnyCandidate", bound=CandidateView)
--- a/gullmount/decisions/attribution/votes.py
+++ b/gullmount/decisions/attribution/votes.py
@@ -49,7 +49,7 @@
             return CandidateVote(candidate, Vote.ROLLBACK, reason)
     if _is_promotable(candidate, assessments):
         return CandidateVote(candidate, Vote.PROMOTE, "nothing against it")
-    if candidate.ballot.last.vote is not Vote.NONE:
+    if candidate.voting_state.last_vote.vote is not Vote.NONE:
         return CandidateVote(candidate, Vote.NONE, "held")
     return None
 
--- a/gullmount/decisions/canary_analysis.py
+++ b/gullmount/decisions/canary_analysis.py
@@ -87,7 +87,7 @@
         self.samples: dict[BuildRoute, deque[AttemptSample]] = defaultdict(lambda: deque(maxlen=MAX_SAMPLES))
         self.baseline_reports: dict[str, MetricsReport] = {}
         """The newest report of the platform's metrics on builds that serve, by route."""
-        self.requests = 0
+        self.interval_requests = 0
         """Requests since the last evaluation, less those that ended unserved: clients send these again."""
         self.loads: deque[int] = deque(maxlen=round(COMPARED_SECONDS / EVALUATION_INTERVAL_SECONDS))
         """Requests between evaluations, the newest last."""
@@ -126,15 +126,15 @@
 
     def begin_evaluation(self, now: float) -> None:
         """Close the interval since the last evaluation and drop the samples that are too old to compare."""
-        self.loads.append(self.requests)
-        self.requests = 0
+        self.loads.append(self.interval_requests)
+        self.interval_requests = 0
         for key, samples in list(self.samples.items()):
             while samples and samples[0].at < now - COMPARED_SECONDS:
                 samples.popleft()
             if not samples:
                 del self.samples[key]
 
-    def note_baseline(self, candidate: Candidate) -> None:
+    def record_baseline(self, candidate: Candidate) -> None:
         """Remember what was usual before the candidate; without enough of it, the first times must do."""
         evidence = candidate.evidence
         if sum(map(len, evidence.baseline_times.values())) < self.thresholds.min_latencies:
--- a/gullmount/decisions/releases.py
+++ b/gullmount/decisions/releases.py
@@ -53,13 +53,13 @@
 
 
 @dataclass(slots=True)
-class Ballot:
+class VotingState:
     """What voting keeps of one candidate."""
 
-    last: CastVote = NO_VOTE
+    last_vote: CastVote = NO_VOTE
     renew_at: float = 0.0
     """Seconds on the runtime's clock from which the last vote is cast again."""
-    peers: dict[int, ReceivedVote] = field(default_factory=dict)
+    peer_votes: dict[int, ReceivedVote] = field(default_factory=dict)
     """By instance number."""
 
 
@@ -79,14 +79,14 @@
         """Factor of the exposure limit, below 1 while its traffic is reduced."""
         self.hash_end: int | None = None
         """The end of the hash range that its share grows from: 0 from below, 1 from above."""
-        self.widest_share = 0.0
+        self.peak_traffic_share = 0.0
         """The largest traffic share that it has had."""
         self.affinity_overflowed = False
         """Whether more keys met it than are remembered one by one."""
         self.failing_routes: set[str] = set()
         """Routes that stay on the baseline."""
         self.evidence = CanaryEvidence()
-        self.ballot = Ballot()
+        self.voting_state = VotingState()
 
     def contains(self, hash_position: float) -> bool:
         """Whether the position lies in its present share of the hash range."""
@@ -94,7 +94,7 @@
 
     def ever_contained(self, hash_position: float) -> bool:
         """Whether the position lies in the widest share that it has had."""
-        return self._covers(self.widest_share, hash_position)
+        return self._covers(self.peak_traffic_share, hash_position)
 
     def advance(self, stage: int, phase: ReleasePhase, exposure_limit: float, now: float) -> None:
         """Take over a release status; its share never stays above the limit."""
--- a/gullmount/decisions/router.py
+++ b/gullmount/decisions/router.py
@@ -122,8 +122,8 @@
         elif candidate.phase in ROLLBACK_PHASES and phase not in ROLLBACK_PHASES:
             return
         elif phase is not candidate.phase or stage != candidate.stage:
-            candidate.ballot.last = NO_VOTE
-        self.canary.note_baseline(candidate)
+            candidate.voting_state.last_vote = NO_VOTE
+        self.canary.record_baseline(candidate)
         if phase in ROLLBACK_PHASES:
             self.affinity.forget_build(build)
         candidate.advance(stage, phase, exposure_limit, self.runtime.now())
@@ -166,7 +166,7 @@
         position = hash_position(key or request_id)
         request = Request(self, request_id, self.settings.routes[route], deadline, key, position)
         self.exposure.record_request(request.route, self.runtime.now() if arrived_at is None else arrived_at)
-        self.canary.requests += 1
+        self.canary.interval_requests += 1
         self.retry_budget.record_request()
         self._advance(request)
         return request
@@ -189,7 +189,7 @@
         self._record_load(request, attempt, outcome, latency, now)
         request.settled = request.settled or final
         if outcome is Outcome.CANCELLED:
-            self.canary.requests -= 1
+            self.canary.interval_requests -= 1
         self.affinity.attempt_ended(request, attempt, outcome)
         if outcome is Outcome.COMPLETED:
             self.slow_start.record_answer(now)
@@ -269,7 +269,7 @@
             self._begin_attempt(request, server, expected_latency, now)
             return
         request.settled = True
-        self.canary.requests -= 1
+        self.canary.interval_requests -= 1
         self._give_up(request, in_time, now)
 
     def _begin_attempt(self, request: Request, server: Server, expected_latency: float, now: float) -> None:
--- a/gullmount/decisions/traffic_split.py
+++ b/gullmount/decisions/traffic_split.py
@@ -119,7 +119,7 @@
             free = 1.0 - sum(other.traffic_share for other in others)
         grown = min(target, candidate.traffic_share + step, free)
         candidate.traffic_share = min(max(candidate.traffic_share, grown), limit)
-        candidate.widest_share = max(candidate.widest_share, candidate.traffic_share)
+        candidate.peak_traffic_share = max(candidate.peak_traffic_share, candidate.traffic_share)
 
     def _limit(self, candidate: Candidate) -> float:
         """Return the candidate's exposure limit; the first stage's as long as no server of it is ready."""
--- a/gullmount/decisions/voting.py
+++ b/gullmount/decisions/voting.py
@@ -111,15 +111,15 @@
 
     def cast(self, candidate: Candidate, evaluation: Evaluation, now: float) -> None:
         """Vote, unless the same vote still stands."""
-        ballot = candidate.ballot
+        voting_state = candidate.voting_state
         vote = CastVote(evaluation.vote, evaluation.conclusive)
-        if vote == ballot.last and now < ballot.renew_at:
+        if vote == voting_state.last_vote and now < voting_state.renew_at:
             return
         self.runtime.log(
             f"build {candidate.build} stage {candidate.stage}: votes {vote.vote.value}: {evaluation.reason}"
         )
-        ballot.last = vote
-        ballot.renew_at = now + self.thresholds.renewal_seconds[vote.vote]
+        voting_state.last_vote = vote
+        voting_state.renew_at = now + self.thresholds.renewal_seconds[vote.vote]
         if self.thresholds.pools_peer_votes and not vote.conclusive:
             self._gossip(candidate, vote.vote)
         else:
@@ -139,7 +139,7 @@
             or self.instance_number >= PEER_VOTE_CASTERS
         ):
             return
-        candidate.ballot.peers[peer] = ReceivedVote(vote, stage, arrived_at)
+        candidate.voting_state.peer_votes[peer] = ReceivedVote(vote, stage, arrived_at)
         agreed = self._agreed_vote(candidate, now)
         if agreed is not None:
             self.runtime.vote(build, candidate.stage, agreed)
@@ -149,11 +149,11 @@
         renew_at = self.runtime.now() + self.draw() * RECAST_SECONDS
         for candidate in self.releases.candidates:
             if build in (None, candidate.build):
-                candidate.ballot.renew_at = renew_at
+                candidate.voting_state.renew_at = renew_at
 
     def _agreed_vote(self, candidate: Candidate, now: float) -> Vote | None:
         """Return what enough peers voted lately; a single vote to roll back bars a promotion."""
-        received = candidate.ballot.peers.values()
+        received = candidate.voting_state.peer_votes.values()
         standing = [other for other in received if now - other.received_at < PEER_VOTE_SECONDS]
         to_roll_back = sum(other.vote is Vote.ROLLBACK for other in standing)
         to_promote = sum(other.vote is Vote.PROMOTE and other.stage == candidate.stage for other in standing)
--- a/tests/decisions/attribution/test_votes.py
+++ b/tests/decisions/attribution/test_votes.py
@@ -35,7 +35,7 @@
 
 def test_earlier_vote_is_withdrawn_once_nothing_speaks_for_it() -> None:
     one = candidate()
-    one.ballot.last = CastVote(Vote.PROMOTE, conclusive=True)
+    one.voting_state.last_vote = CastVote(Vote.PROMOTE, conclusive=True)
     assert votes(one, Assessment(NOTHING)) == [Vote.NONE]
 
 
--- a/tests/decisions/test_concurrent_candidates.py
+++ b/tests/decisions/test_concurrent_candidates.py
@@ -174,9 +174,9 @@
 def test_a_vote_that_failed_is_cast_again_for_its_build_only() -> None:
     harness = two()
     for trial in harness.router.releases.candidates:
-        trial.ballot.renew_at = 1e9
+        trial.voting_state.renew_at = 1e9
     harness.router.vote_failed(3)
-    again = {trial.build: trial.ballot.renew_at for trial in harness.router.releases.candidates}
+    again = {trial.build: trial.voting_state.renew_at for trial in harness.router.releases.candidates}
     assert again[2] == 1e9 and again[3] < 1e9
 
 
--- a/tests/support/attribution_scene.py
+++ b/tests/support/attribution_scene.py
@@ -76,7 +76,7 @@
                     last_votes = votes
                     self.votes += [(self.now, candidate.build, vote) for candidate, vote, _ in votes]
                     for candidate, vote, _ in votes:
-                        candidate.ballot.last = CastVote(vote, conclusive=True)
+                        candidate.voting_state.last_vote = CastVote(vote, conclusive=True)
         return last_votes
 
     def attempt(self) -> None:
