--- a/gullmount/decisions/metric_totals.py
+++ b/gullmount/decisions/metric_totals.py
@@ -10,8 +10,8 @@
 from math import log, sqrt
 
 STANDARD_ERRORS = 3.0
-SLOWER_RATIO = 1.5  # times the baseline's mean time
-MORE_LOST_SHARE = 0.1  # of the attempts; wide, as cold servers lose some too
+MAX_MEAN_TIME_RATIO = 1.5  # times the baseline's mean time
+MAX_EXTRA_LOST_SHARE = 0.1  # of the attempts; wide, as cold servers lose some too
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,9 @@
         """Whether the candidate is slower than the baseline or loses more attempts."""
         if not self.time or not self.baseline_time:
             return False
-        error = STANDARD_ERRORS * sqrt(1 / self.attempts + 1 / self.baseline_attempts)
-        slower = log(self.time / self.baseline_time) > max(log(SLOWER_RATIO), error)
-        margin = max(MORE_LOST_SHARE * self.attempts, STANDARD_ERRORS * sqrt(self.baseline_lost + 1))
-        return slower or self.lost - self.baseline_lost >= margin
+        error_margin = STANDARD_ERRORS * sqrt(1 / self.attempts + 1 / self.baseline_attempts)
+        slower = log(self.time / self.baseline_time) > max(log(MAX_MEAN_TIME_RATIO), error_margin)
+        lost_margin = max(
+            MAX_EXTRA_LOST_SHARE * self.attempts, STANDARD_ERRORS * sqrt(self.baseline_lost + 1)
+        )
+        return slower or self.lost - self.baseline_lost >= lost_margin
--- a/gullmount/decisions/releases.py
+++ b/gullmount/decisions/releases.py
@@ -12,9 +12,9 @@
     ReleaseSettings,
     Vote,
 )
-from gullmount.decisions.statistics import Times
+from gullmount.decisions.statistics import TimesBySlice
 
-UNNAMED_BUILD = -1  # stands for whatever runs before the first release status
+INITIAL_BUILD = -1  # stands for whatever runs before the first release status
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 class CanaryEvidence:
     """What canary analysis keeps of one candidate."""
 
-    baseline_times: Times = field(default_factory=dict)
+    baseline_times: TimesBySlice = field(default_factory=dict)
     """Times from before the candidate, by route, in latency objectives."""
     baseline_load: float = 0.0
     """Requests between two evaluations before the candidate."""
@@ -116,7 +116,7 @@
 
     def __init__(self, settings: ReleaseSettings) -> None:
         self.settings = settings
-        first = Candidate(UNNAMED_BUILD, 0, ReleasePhase.RELEASED, settings.exposure_limits[0])
+        first = Candidate(INITIAL_BUILD, 0, ReleasePhase.RELEASED, settings.exposure_limits[0])
         self.candidates = [first]
 
     @property
@@ -149,8 +149,8 @@
 
     def add(self, build: int, stage: int, exposure_limit: float) -> Candidate:
         """Begin a release; of the others those that have not ended stay, where several may run."""
-        added = Candidate(build, stage, self.newest.phase, exposure_limit)
-        several = self.settings.concurrent_candidates > 1
-        beside = [one for one in self.candidates if several and one.phase in UNFINISHED_PHASES]
-        self.candidates = sorted([*beside, added], key=lambda candidate: candidate.build)
-        return added
+        new_candidate = Candidate(build, stage, self.newest.phase, exposure_limit)
+        allows_several = self.settings.concurrent_candidates > 1
+        kept = [other for other in self.candidates if allows_several and other.phase in UNFINISHED_PHASES]
+        self.candidates = sorted([*kept, new_candidate], key=lambda candidate: candidate.build)
+        return new_candidate
--- a/gullmount/decisions/statistics.py
+++ b/gullmount/decisions/statistics.py
@@ -22,7 +22,7 @@
     slice: int
 
 
-Times = dict[RouteSlice, list[float]]
+TimesBySlice = dict[RouteSlice, list[float]]
 
 
 class AttemptSample(NamedTuple):
@@ -74,51 +74,54 @@
     """By how far servers of one group lie apart; 0 where that is not known."""
 
 
-NO_DIFFERENCE_KNOWN = ServerDifference(1.0, 0.0)
+UNKNOWN_DIFFERENCE = ServerDifference(1.0, 0.0)
 
 
-def rank_surplus(high: Sequence[float], low: Sequence[float]) -> tuple[float, float]:
-    """Return by how many pairs `high` ranks above `low` beyond chance, and that count's variance."""
-    ordered = sorted(low)
-    wins = sum((bisect_left(ordered, time) + bisect_right(ordered, time)) / 2 for time in high)
-    pairs = len(high) * len(low)
-    return wins - pairs / 2, pairs * (len(high) + len(low) + 1) / 12
+def rank_surplus(compared_group: Sequence[float], baseline_group: Sequence[float]) -> tuple[float, float]:
+    """Return by how many pairs `compared_group` ranks above chance, and that number's variance."""
+    sorted_baseline = sorted(baseline_group)
+    wins = sum(
+        (bisect_left(sorted_baseline, time) + bisect_right(sorted_baseline, time)) / 2
+        for time in compared_group
+    )
+    pairs = len(compared_group) * len(baseline_group)
+    return wins - pairs / 2, pairs * (len(compared_group) + len(baseline_group) + 1) / 12
 
 
-def rank_test(times: Times, baseline: Times, least: int) -> RankTest:
-    """Compare the times part by part; a part counts with `least` baseline times or more."""
+def rank_test(times: TimesBySlice, baseline: TimesBySlice, min_times: int) -> RankTest:
+    """Compare the times part by part; a part counts with `min_times` baseline times or more."""
     ratios: list[float] = []
     surplus = variance = 0.0
-    for part, part_times in times.items():
-        baseline_times = baseline.get(part, ())
-        if len(baseline_times) < least:
+    for route_slice, compared_times in times.items():
+        baseline_times = baseline.get(route_slice, ())
+        if len(baseline_times) < min_times:
             continue
-        middle = median(baseline_times)
-        ratios += [time / middle for time in part_times]
-        part_surplus, part_variance = rank_surplus(part_times, baseline_times)
-        surplus += part_surplus
-        variance += part_variance
+        baseline_median = median(baseline_times)
+        ratios += [time / baseline_median for time in compared_times]
+        slice_surplus, slice_variance = rank_surplus(compared_times, baseline_times)
+        surplus += slice_surplus
+        variance += slice_variance
     return RankTest(ratios, surplus, variance)
 
 
-def merge_routes(times: Times) -> Times:
+def merge_routes(times: TimesBySlice) -> TimesBySlice:
     """Take the routes of each slice together."""
-    merged: Times = defaultdict(list)
-    for (_, number), route_times in times.items():
-        merged[RouteSlice(ALL_ROUTES, number)] += route_times
+    merged: TimesBySlice = defaultdict(list)
+    for (_, slice_number), route_times in times.items():
+        merged[RouteSlice(ALL_ROUTES, slice_number)] += route_times
     return merged
 
 
-def slice_times(samples: Mapping[str, Iterable[AttemptSample]], span: float) -> Times:
-    """Return the times by route and slice of `span` seconds, so that only the same seconds are compared."""
-    times: Times = {}
+def times_by_slice(samples: Mapping[str, Iterable[AttemptSample]], slice_seconds: float) -> TimesBySlice:
+    """Group the times by route and slice of time, so that only times of the same seconds are compared."""
+    times: TimesBySlice = {}
     for route, route_samples in samples.items():
         by_slice: dict[int, list[float]] = defaultdict(list)
         for sample in route_samples:
             if sample.time >= 0:
-                by_slice[int(sample.at / span)].append(sample.time)
-        for number, slice_of_times in by_slice.items():
-            times[RouteSlice(route, number)] = slice_of_times
+                by_slice[int(sample.at / slice_seconds)].append(sample.time)
+        for slice_number, times_of_slice in by_slice.items():
+            times[RouteSlice(route, slice_number)] = times_of_slice
     return times
 
 
@@ -135,9 +138,9 @@
     ]
 
 
-def times_since(samples: Samples, since: float) -> Times:
+def times_since(samples: Samples, since: float) -> TimesBySlice:
     """Return the times of each route since then, whatever the build, as one slice."""
-    times: Times = defaultdict(list)
+    times: TimesBySlice = defaultdict(list)
     for (_, route), route_samples in samples.items():
         recent = [sample.time for sample in route_samples if sample.at >= since and sample.time >= 0]
         times[RouteSlice(route, 0)] += recent
@@ -155,8 +158,8 @@
     return sorted(counts, key=lambda count: -count.failed)
 
 
-def without_slowest(
-    samples: SamplesByRoute, count_to_leave_out: Callable[[int], int]
+def exclude_slowest_servers(
+    samples: SamplesByRoute, excluded_count: Callable[[int], int]
 ) -> dict[str, list[AttemptSample]]:
     """Leave out the servers with the longest mean times, as many as the callable says for their number."""
     times: dict[str, list[float]] = defaultdict(list)
@@ -165,7 +168,7 @@
             if sample.time >= 0:
                 times[sample.server_id].append(sample.time)
     slowest_first = sorted(times, key=lambda server_id: -fmean(times[server_id]))
-    slowest = slowest_first[: count_to_leave_out(len(times))]
+    slowest = slowest_first[: excluded_count(len(times))]
     return {
         route: [sample for sample in route_samples if sample.server_id not in slowest]
         for route, route_samples in samples.items()
@@ -175,35 +178,37 @@
 def difference_between_servers(
     samples: Mapping[str, Iterable[AttemptSample]],
     baseline: Mapping[str, Iterable[AttemptSample]],
-    least: int,
+    min_times: int,
 ) -> ServerDifference:
     """Return how much slower the servers of `samples` are than those of the baseline.
 
-    Servers with fewer than `least` times are left out. Without one of the samples' and two of the baseline's,
-    how far servers lie apart is not known.
+    Servers with fewer than `min_times` times are left out. Without one of the samples' and two of the
+    baseline's, how far servers lie apart is not known.
     """
-    middle: dict[str, float] = {}
+    route_medians: dict[str, float] = {}
     for route, route_samples in baseline.items():
         times = [sample.time for sample in route_samples if sample.time > 0]
         if times:
-            middle[route] = median(times)
-    own = _mean_logarithms(samples, middle, least)
-    others = _mean_logarithms(baseline, middle, least)
-    if not own or len(others) <= 1:
-        return NO_DIFFERENCE_KNOWN
-    squares = sum((mean - fmean(group)) ** 2 for group in (own, others) for mean in group)
-    deviation = sqrt(squares / (len(own) + len(others) - 2))
-    error = deviation * sqrt(1 / len(own) + 1 / len(others))
-    return ServerDifference(fmean(own) - fmean(others), error)
+            route_medians[route] = median(times)
+    server_means = _mean_logarithms(samples, route_medians, min_times)
+    baseline_means = _mean_logarithms(baseline, route_medians, min_times)
+    if not server_means or len(baseline_means) <= 1:
+        return UNKNOWN_DIFFERENCE
+    squared_deviations = sum(
+        (mean - fmean(group)) ** 2 for group in (server_means, baseline_means) for mean in group
+    )
+    deviation = sqrt(squared_deviations / (len(server_means) + len(baseline_means) - 2))
+    combined_error = deviation * sqrt(1 / len(server_means) + 1 / len(baseline_means))
+    return ServerDifference(fmean(server_means) - fmean(baseline_means), combined_error)
 
 
 def _mean_logarithms(
-    samples: Mapping[str, Iterable[AttemptSample]], middle: Mapping[str, float], least: int
+    samples: Mapping[str, Iterable[AttemptSample]], route_medians: Mapping[str, float], min_times: int
 ) -> list[float]:
     """Return for each server the mean logarithm of its times over the route's middle."""
     logarithms: dict[str, list[float]] = defaultdict(list)
-    for route, route_middle in middle.items():
+    for route, route_median in route_medians.items():
         for sample in samples[route]:
             if sample.time > 0:
-                logarithms[sample.server_id].append(log(sample.time / route_middle))
-    return [fmean(values) for values in logarithms.values() if len(values) >= least]
+                logarithms[sample.server_id].append(log(sample.time / route_median))
+    return [fmean(values) for values in logarithms.values() if len(values) >= min_times]
--- a/gullmount/decisions/traffic_split.py
+++ b/gullmount/decisions/traffic_split.py
@@ -13,7 +13,7 @@
 from gullmount.decisions.releases import Candidate, Releases
 from gullmount.decisions.requests import Request
 
-LIMIT_USE = 0.8  # of the exposure limit; the rest is room for chance and retries
+TARGET_LIMIT_SHARE = 0.8  # of the exposure limit; the rest is room for chance and retries
 RAMP_SECONDS = 3.0  # in which a share rises to what it may be
 MAX_RELATIVE_LOAD = 1.1  # times the load of the baseline's servers: what is loaded more reads as slower
 
@@ -38,11 +38,11 @@
         A key that met a build stays with it. A retry, a route that fails and a key with attempts in flight
         at an older build go to the baseline.
         """
-        met = self._candidate_met(request)
-        if met is not None:
-            stays = self.releases.settings.one_way or request.route.name not in met.failing_routes
-            return met if stays else None
-        candidate = self._candidate_at(request.hash_position)
+        remembered = self._remembered_candidate(request)
+        if remembered is not None:
+            may_stay = self.releases.settings.one_way or request.route.name not in remembered.failing_routes
+            return remembered if may_stay else None
+        candidate = self._candidate_by_hash(request.hash_position)
         if candidate is None or request.route.name in candidate.failing_routes:
             return None
         if request.attempts and self.releases.unfinished_release(request.attempts[-1].build):
@@ -53,22 +53,26 @@
         """Move each candidate's share toward what it may be; called at every evaluation."""
         candidates = self.releases.candidates
         missing = self._missing_capacity(now)
-        ready = [self._ready_servers(candidate) for candidate in candidates]
-        capacities = [count - lacks for count, lacks in zip(ready, missing, strict=True)]
+        ready_counts = [self._ready_servers(candidate) for candidate in candidates]
+        capacities = [
+            count - missing_count for count, missing_count in zip(ready_counts, missing, strict=True)
+        ]
         total = sum(capacities) + self._ready_servers(None)
         for candidate, capacity in zip(candidates, capacities, strict=True):
-            self._grow(candidate, capacity / max(1, total), now)
+            self._raise_share(candidate, capacity / max(1, total), now)
         self.updated_at = now
 
-    def _candidate_met(self, request: Request) -> Candidate | None:
+    def _remembered_candidate(self, request: Request) -> Candidate | None:
         if request.key is None:
             return None
-        met = self.releases.find(self.affinity.last_build(request))
-        if met is self.releases.newest or (met is not None and self.releases.unfinished_release(met.build)):
-            return met
+        remembered = self.releases.find(self.affinity.last_build(request))
+        if remembered is self.releases.newest or (
+            remembered is not None and self.releases.unfinished_release(remembered.build)
+        ):
+            return remembered
         return None
 
-    def _candidate_at(self, hash_position: float) -> Candidate | None:
+    def _candidate_by_hash(self, hash_position: float) -> Candidate | None:
         for candidate in self.releases.candidates:
             if self.releases.unfinished_release(candidate.build) and candidate.contains(hash_position):
                 return candidate
@@ -99,7 +103,7 @@
         self.warm_capacity = 1 - sum(missing) / max(1, self.endpoints.ready_count)
         return missing
 
-    def _grow(self, candidate: Candidate, even_share: float, now: float) -> None:
+    def _raise_share(self, candidate: Candidate, even_share: float, now: float) -> None:
         """Raise a candidate's share; `even_share` loads its servers as much as the others."""
         others = [
             other
@@ -109,21 +113,21 @@
         if candidate.hash_end is None:
             candidate.hash_end = min(HASH_ENDS - {other.hash_end for other in others}, default=None)
         limit = candidate.limit_factor * self._limit(candidate)
-        target = LIMIT_USE * limit
+        target = TARGET_LIMIT_SHARE * limit
         if limit >= 1:
             target = max(even_share, target)
         target = min(target, MAX_RELATIVE_LOAD * even_share)
-        step = (now - self.updated_at) / RAMP_SECONDS * LIMIT_USE * limit
-        free = 0.0
+        max_increase = (now - self.updated_at) / RAMP_SECONDS * TARGET_LIMIT_SHARE * limit
+        free_share = 0.0
         if candidate.hash_end is not None:
-            free = 1.0 - sum(other.traffic_share for other in others)
-        grown = min(target, candidate.traffic_share + step, free)
-        candidate.traffic_share = min(max(candidate.traffic_share, grown), limit)
+            free_share = 1.0 - sum(other.traffic_share for other in others)
+        raised_share = min(target, candidate.traffic_share + max_increase, free_share)
+        candidate.traffic_share = min(max(candidate.traffic_share, raised_share), limit)
         candidate.peak_traffic_share = max(candidate.peak_traffic_share, candidate.traffic_share)
 
     def _limit(self, candidate: Candidate) -> float:
         """Return the candidate's exposure limit; the first stage's as long as no server of it is ready."""
-        listed = candidate.build in self.endpoints.ready_by_build
-        if listed and self.releases.unfinished_release(candidate.build) is candidate:
+        has_ready_servers = candidate.build in self.endpoints.ready_by_build
+        if has_ready_servers and self.releases.unfinished_release(candidate.build) is candidate:
             return candidate.exposure_limit
         return self.releases.settings.exposure_limits[0]
--- a/gullmount/decisions/voting.py
+++ b/gullmount/decisions/voting.py
@@ -17,23 +17,25 @@
 from gullmount.decisions.releases import Candidate, CastVote, ReceivedVote, Releases
 from gullmount.decisions.runtime import Runtime
 
-FALSE_ALARM = 0.01  # chance that a good build is rolled back by chance, over some evaluations
+FALSE_ALARM_PROBABILITY = 0.01  # chance that a good build is rolled back by chance, over some evaluations
 INDEPENDENT_EVALUATIONS = 4.0  # of a candidate: its evidence changes slowly
-FEW_VOTES = 3  # needed votes up to which each must be sure by itself, as one stray cause may be behind all
-SHARED_SLOWDOWN = 0.8  # logarithm of the slowdown times the traffic share, summed over seconds
+# Up to so many needed votes each must be sure by itself, as one stray cause may be behind all.
+MAX_FEW_VOTES = 3
+MIN_SHARED_SLOWDOWN = 0.8  # logarithm of the slowdown times the traffic share, summed over seconds
 MIN_LATENCIES = 20  # attempts that a median needs where one vote decides
-MIN_LATENCIES_ALWAYS = 2  # that it needs always
+MIN_LATENCIES_PER_VOTE = 2  # that it needs always
 MIN_FAILURES = 3  # that a vote to roll back needs where one vote decides
-SPARED_SERVERS = 0.25  # of the servers, those that fail most or are slowest, are left out of a comparison
+# This share of the servers, those that fail most or are slowest, is left out of a comparison.
+EXCLUDED_SERVER_SHARE = 0.25
 
 PEER_VOTE_CASTERS = 2  # the first instances, which cast what peers agree on: one may be cut off
-PEERS_TO_ROLL_BACK = 0.05  # of all instances: false alarms come singly
-PEERS_TO_PROMOTE = 0.3  # of all instances: as many are heard even while a zone is cut off
-PEER_VOTE_SECONDS = 4.0  # for which a peer's vote counts: longer, and false alarms add up
+PEER_SHARE_TO_ROLL_BACK = 0.05  # of all instances: false alarms come singly
+PEER_SHARE_TO_PROMOTE = 0.3  # of all instances: as many are heard even while a zone is cut off
+PEER_VOTE_LIFETIME_SECONDS = 4.0  # for which a peer's vote counts: longer, and false alarms add up
 
-RENEWAL = 0.5  # of a vote's lifetime, so that one lost renewal does not let it lapse
-LATEST_RENEWAL = 0.9  # of it, where the renewals of all instances are too many votes
-RECAST_SECONDS = 0.5  # within which a failed vote is cast again, at random
+RENEWAL_SHARE = 0.5  # of a vote's lifetime, so that one lost renewal does not let it lapse
+MAX_RENEWAL_SHARE = 0.9  # of it, where the renewals of all instances are too many votes
+MAX_RECAST_DELAY_SECONDS = 0.5  # within which a failed vote is cast again, at random
 
 
 class EvidenceThresholds:
@@ -44,39 +46,40 @@
 
     def __init__(self, settings: InstanceSettings) -> None:
         release, instances = settings.release, settings.instance_count
-        peers = ceil(PEERS_TO_ROLL_BACK * instances)
+        peers_needed = ceil(PEER_SHARE_TO_ROLL_BACK * instances)
         # More votes than instances never come together: each weighs what it sees as if all must agree.
-        votes = min(max(1, release.votes_to_roll_back), instances)
-        self.pools_peer_votes = settings.gossip_enabled and release.votes_to_promote == 1 and peers > 1
+        votes_needed = min(max(1, release.votes_to_roll_back), instances)
+        self.pools_peer_votes = settings.gossip_enabled and release.votes_to_promote == 1 and peers_needed > 1
         """Whether peers' votes are pooled."""
-        self.votes_to_roll_back = peers if self.pools_peer_votes else votes
+        self.votes_to_roll_back = peers_needed if self.pools_peer_votes else votes_needed
         """Votes that roll a candidate back."""
-        self.evidence_is_spread = self.votes_to_roll_back > FEW_VOTES
+        self.needs_many_votes = self.votes_to_roll_back > MAX_FEW_VOTES
         """Whether each instance sees so little that it takes all routes together."""
-        independent = self.votes_to_roll_back if self.evidence_is_spread else 1
-        alarms = FALSE_ALARM ** (1 / independent) * self.votes_to_roll_back
-        alarm = alarms / (e * instances * INDEPENDENT_EVALUATIONS)
-        self.standard_errors = -NormalDist().inv_cdf(alarm)  # by symmetry, as 1 - alarm may be rounded to 1
+        independent_votes = self.votes_to_roll_back if self.needs_many_votes else 1
+        allowed_alarms = FALSE_ALARM_PROBABILITY ** (1 / independent_votes) * self.votes_to_roll_back
+        alarm_probability = allowed_alarms / (e * instances * INDEPENDENT_EVALUATIONS)
+        # By symmetry, as 1 - alarm_probability may be rounded to 1.
+        self.standard_errors = -NormalDist().inv_cdf(alarm_probability)
         """By which a candidate must be slower."""
-        self.shared_slowdown = SHARED_SLOWDOWN * max(1.0, log(instances / self.votes_to_roll_back))
+        self.shared_slowdown = MIN_SHARED_SLOWDOWN * max(1.0, log(instances / self.votes_to_roll_back))
         """At which the candidate is held to slow all servers."""
-        self.min_latencies = max(MIN_LATENCIES_ALWAYS, ceil(MIN_LATENCIES / independent))
-        self.min_failures = max(1, round(MIN_FAILURES / independent))
+        self.min_latencies = max(MIN_LATENCIES_PER_VOTE, ceil(MIN_LATENCIES / independent_votes))
+        self.min_failures = max(1, round(MIN_FAILURES / independent_votes))
         self.renewal_seconds = self._renewal_seconds(settings)
         """By vote: from a vote until it is cast again."""
 
-    def spared_servers(self, servers: int) -> int:
+    def excluded_servers(self, server_count: int) -> int:
         """Return how many of so many servers are left out: one broken server must not roll back a build."""
-        rounded = int if self.evidence_is_spread or servers <= 1 else ceil
-        return rounded(servers * SPARED_SERVERS)
+        rounded = int if self.needs_many_votes or server_count <= 1 else ceil
+        return rounded(server_count * EXCLUDED_SERVER_SHARE)
 
     def _renewal_seconds(self, settings: InstanceSettings) -> dict[Vote, float]:
         release = settings.release
-        lifetime = PEER_VOTE_SECONDS if self.pools_peer_votes else release.vote_lifetime
-        all_votes = settings.instance_count * release.concurrent_candidates
-        needed = 0.0 if self.pools_peer_votes else all_votes / release.votes_per_second
-        promote = max(lifetime * RENEWAL, min(lifetime * LATEST_RENEWAL, needed))
-        return {Vote.ROLLBACK: lifetime * RENEWAL, Vote.PROMOTE: promote, Vote.NONE: lifetime}
+        lifetime = PEER_VOTE_LIFETIME_SECONDS if self.pools_peer_votes else release.vote_lifetime
+        votes_per_round = settings.instance_count * release.concurrent_candidates
+        round_seconds = 0.0 if self.pools_peer_votes else votes_per_round / release.votes_per_second
+        promote_seconds = max(lifetime * RENEWAL_SHARE, min(lifetime * MAX_RENEWAL_SHARE, round_seconds))
+        return {Vote.ROLLBACK: lifetime * RENEWAL_SHARE, Vote.PROMOTE: promote_seconds, Vote.NONE: lifetime}
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,28 +143,34 @@
         ):
             return
         candidate.voting_state.peer_votes[peer] = ReceivedVote(vote, stage, arrived_at)
-        agreed = self._agreed_vote(candidate, now)
-        if agreed is not None:
-            self.runtime.vote(build, candidate.stage, agreed)
+        agreed_vote = self._agreed_vote(candidate, now)
+        if agreed_vote is not None:
+            self.runtime.vote(build, candidate.stage, agreed_vote)
 
     def retry(self, build: int | None) -> None:
         """Cast the last vote on the build again soon, or on all; not all instances in step."""
-        renew_at = self.runtime.now() + self.draw() * RECAST_SECONDS
+        renew_at = self.runtime.now() + self.draw() * MAX_RECAST_DELAY_SECONDS
         for candidate in self.releases.candidates:
             if build in (None, candidate.build):
                 candidate.voting_state.renew_at = renew_at
 
     def _agreed_vote(self, candidate: Candidate, now: float) -> Vote | None:
         """Return what enough peers voted lately; a single vote to roll back bars a promotion."""
-        received = candidate.voting_state.peer_votes.values()
-        standing = [other for other in received if now - other.received_at < PEER_VOTE_SECONDS]
-        to_roll_back = sum(other.vote is Vote.ROLLBACK for other in standing)
-        to_promote = sum(other.vote is Vote.PROMOTE and other.stage == candidate.stage for other in standing)
-        if to_roll_back >= self.thresholds.votes_to_roll_back:
+        received_votes = candidate.voting_state.peer_votes.values()
+        valid_votes = [
+            peer_vote
+            for peer_vote in received_votes
+            if now - peer_vote.received_at < PEER_VOTE_LIFETIME_SECONDS
+        ]
+        rollback_votes = sum(peer_vote.vote is Vote.ROLLBACK for peer_vote in valid_votes)
+        promote_votes = sum(
+            peer_vote.vote is Vote.PROMOTE and peer_vote.stage == candidate.stage for peer_vote in valid_votes
+        )
+        if rollback_votes >= self.thresholds.votes_to_roll_back:
             return Vote.ROLLBACK
-        if to_roll_back or candidate.phase is not ReleasePhase.CANDIDATE:
+        if rollback_votes or candidate.phase is not ReleasePhase.CANDIDATE:
             return None
-        return Vote.PROMOTE if to_promote >= PEERS_TO_PROMOTE * self.instance_count else None
+        return Vote.PROMOTE if promote_votes >= PEER_SHARE_TO_PROMOTE * self.instance_count else None
 
     def _gossip(self, candidate: Candidate, vote: Vote) -> None:
         for caster in range(PEER_VOTE_CASTERS):
--- a/gullmount/simulator/adapter.py
+++ b/gullmount/simulator/adapter.py
@@ -52,19 +52,19 @@
             settings,
             clock=lambda: self.clock,
             pages=self.pages,
-            act=self.actions.append,
+            emit=self.actions.append,
         )
 
 
-def serve(source: Iterable[bytes], sink: BinaryIO) -> None:
+def serve(input_lines: Iterable[bytes], output: BinaryIO) -> None:
     """Answer every batch of lines until the input ends; raises MalformedLineError."""
     adapter = Adapter()
-    for line in source:
+    for line in input_lines:
         if not line.strip():
             continue
         event = wire.decode_event(line)
         if isinstance(event, wire.BatchEnd):
-            sink.write(adapter.end_batch())
-            sink.flush()
+            output.write(adapter.end_batch())
+            output.flush()
         else:
             adapter.handle(event)
--- a/gullmount/simulator/errors.py
+++ b/gullmount/simulator/errors.py
@@ -4,7 +4,7 @@
 
 from gullmount.errors import GullmountError
 
-MAX_PROBLEM_LENGTH = 200  # characters of a problem that are shown
+MAX_MESSAGE_LENGTH = 200  # characters of a problem that are shown
 
 
 class MalformedLineError(GullmountError):
@@ -16,7 +16,7 @@
 
     def __init__(self, cause: ValueError | RecursionError) -> None:
         reason = "nested too deep" if isinstance(cause, RecursionError) else cause
-        super().__init__(f"line is not JSON that can be read: {reason}"[:MAX_PROBLEM_LENGTH])
+        super().__init__(f"line is not JSON that can be read: {reason}"[:MAX_MESSAGE_LENGTH])
 
 
 class MissingVerbError(MalformedLineError):
@@ -30,18 +30,18 @@
     """An event that the wire doesn't have."""
 
     def __init__(self, verb: str) -> None:
-        super().__init__(f"{verb}: unknown verb"[:MAX_PROBLEM_LENGTH])
+        super().__init__(f"{verb}: unknown verb"[:MAX_MESSAGE_LENGTH])
 
 
 class InvalidFieldError(MalformedLineError):
     """A field that is missing, or of the wrong type, or that holds what its owner refuses."""
 
     def __init__(self, verb: str, problem: str) -> None:
-        super().__init__(f"{verb}: {problem}"[:MAX_PROBLEM_LENGTH])
+        super().__init__(f"{verb}: {problem}"[:MAX_MESSAGE_LENGTH])
 
 
 class UnknownValueError(MalformedLineError):
     """A field of the right type whose value names nothing."""
 
     def __init__(self, verb: str, field: str, value: object) -> None:
-        super().__init__(f"{verb}: field {field} has no such value: {value!r}"[:MAX_PROBLEM_LENGTH])
+        super().__init__(f"{verb}: field {field} has no such value: {value!r}"[:MAX_MESSAGE_LENGTH])
--- a/gullmount/simulator/instance.py
+++ b/gullmount/simulator/instance.py
@@ -35,15 +35,15 @@
         *,
         clock: Callable[[], float],
         pages: Mapping[int, Sequence[Endpoint]],
-        act: Callable[[wire.Action], None],
+        emit: Callable[[wire.Action], None],
     ) -> None:
         self.number = number
         self.now = clock
-        self.act = act
+        self.emit = emit
         self.pages = pages
         self.routes = settings.routes
         self.requests: dict[str, Request] = {}
-        self.timers_set = 0
+        self.timer_count = 0
         self.timer_callbacks: dict[int, Callable[[], None]] = {}
         self.router = Router(self, settings)
 
@@ -51,37 +51,37 @@
 
     def forward(self, request_id: str, server_id: str, timeout: float) -> None:
         """Start an attempt; `timeout` in seconds."""
-        self.act(wire.Forward(self.number, request_id, server_id, wire.microseconds(timeout)))
+        self.emit(wire.Forward(self.number, request_id, server_id, wire.microseconds(timeout)))
 
     def reject(self, request_id: str, retry_after: float) -> None:
         """Reject a request; `retry_after` in seconds."""
-        self.act(wire.Reject(self.number, request_id, wire.microseconds(retry_after)))
+        self.emit(wire.Reject(self.number, request_id, wire.microseconds(retry_after)))
 
     def fail(self, request_id: str) -> None:
         """Fail a request."""
-        self.act(wire.Fail(self.number, request_id))
+        self.emit(wire.Fail(self.number, request_id))
 
     def call_after(self, delay: float, callback: Callable[[], None]) -> None:
         """Call back after a delay in seconds."""
-        self.timers_set += 1
-        self.timer_callbacks[self.timers_set] = callback
-        self.act(wire.SetTimer(self.number, self.timers_set, wire.microseconds(delay)))
+        self.timer_count += 1
+        self.timer_callbacks[self.timer_count] = callback
+        self.emit(wire.SetTimer(self.number, self.timer_count, wire.microseconds(delay)))
 
     def vote(self, build: int, stage: int, vote: Vote) -> None:
         """Vote on a build."""
-        self.act(wire.cast_vote(self.number, build, stage, vote))
+        self.emit(wire.cast_vote(self.number, build, stage, vote))
 
     def gossip_vote(self, peer: int, build: int, stage: int, vote: Vote) -> None:
         """Tell a peer of a vote."""
-        self.act(wire.gossip_vote(self.number, peer, build, stage, vote))
+        self.emit(wire.gossip_vote(self.number, peer, build, stage, vote))
 
     def watch_endpoints(self) -> None:
         """Watch the endpoint list."""
-        self.act(wire.WatchEndpoints(self.number))
+        self.emit(wire.WatchEndpoints(self.number))
 
     def log(self, text: str) -> None:
         """Log a text for people."""
-        self.act(wire.LogMessage(self.number, text))
+        self.emit(wire.LogMessage(self.number, text))
 
     # What the simulator says
 
@@ -106,7 +106,7 @@
         request.attempt_ended(
             event.attempt, outcome, seconds_from_microseconds(event.latency_us), event.final
         )
-        self._forget_if_over(event.request_id, request)
+        self._remove_if_finished(event.request_id, request)
 
     def _on_response_start(self, event: wire.ResponseStart) -> None:
         request = self.requests.get(event.request_id)
@@ -117,9 +117,9 @@
         request = self.requests.get(event.request_id)
         if request is not None:
             request.client_left()
-            self._forget_if_over(event.request_id, request)
+            self._remove_if_finished(event.request_id, request)
 
-    def _forget_if_over(self, request_id: str, request: Request) -> None:
+    def _remove_if_finished(self, request_id: str, request: Request) -> None:
         if request.settled and not request.attempts_in_flight:
             del self.requests[request_id]
 
--- a/gullmount/simulator/wire.py
+++ b/gullmount/simulator/wire.py
@@ -186,7 +186,7 @@
     timer: int = field(name="Name")
 
 
-class ReleaseAnswer(InstanceEvent, tag="RolloutState"):
+class ReleaseResponse(InstanceEvent, tag="RolloutState"):
     """The answer to a vote, or news of a build, before its outcome is known."""
 
     outcome: int = field(name="Disposition")
@@ -243,7 +243,7 @@
     "Begun": ResponseStart,
     "Left": ClientLeft,
     "Due": TimerDue,
-    "RolloutState": ReleaseAnswer,
+    "RolloutState": ReleaseResponse,
     "Tally": Metrics,
     "NoteFrom": PeerMessage,
     "ProbeResult": ProbeResult,
@@ -263,7 +263,7 @@
     if verb not in EVENTS:
         raise UnknownVerbError(verb)
     event = _convert(verb, message, EVENTS[verb])
-    if not isinstance(event, ReleaseAnswer):
+    if not isinstance(event, ReleaseResponse):
         return event
     if look_up(OUTCOMES, verb, "Disposition", event.outcome) is not Outcome.COMPLETED:
         return VoteFailed(event.instance)
@@ -348,9 +348,9 @@
     text: str = field(name="What")
 
 
-def microseconds(span_seconds: float) -> int:
+def microseconds(seconds: float) -> int:
     """Return a span in the wire's unit."""
-    return round(span_seconds * MICROSECONDS_PER_SECOND)
+    return round(seconds * MICROSECONDS_PER_SECOND)
 
 
 def cast_vote(instance: int, build: int, stage: int, vote: Vote) -> CastVote:
