--- a/gullmount/decisions/canary_analysis.py
+++ b/gullmount/decisions/canary_analysis.py
@@ -1,11 +1,19 @@
-"""Canary analysis: a candidate against the baseline, over the same seconds.
+"""Canary analysis: compares a candidate with the baseline over the same seconds.
 
-A candidate is to be rolled back if it fails more than the baseline on a route, if its servers are slower,
-if the platform's metrics say so, or if all servers have slowed with its traffic share. It is to be promoted
-if nothing of that holds and enough clean attempts were seen. Times are in latency objectives, so that
-routes can be mixed.
+The baseline consists of the builds that belong to no unfinished release.
 
-Where two candidates may be in release `attribution` judges instead, by constants of its own.
+A candidate is to be rolled back if one of these holds:
+
+* It fails more often than the baseline on a route.
+* Its servers are slower.
+* The platform's metrics show that it is worse.
+* All servers have become slower as its traffic share grew.
+
+It is to be promoted if none of these holds and enough attempts succeeded. Times are latencies divided by the
+route's latency objective, so that routes can be compared together.
+
+Where two candidates may be in release at once, `attribution` evaluates them instead, with constants of its
+own.
 """
 
 from __future__ import annotations
@@ -26,51 +34,95 @@
 from gullmount.decisions.voting import MIN_FAILURES, MIN_LATENCIES, Evaluation, EvidenceThresholds
 
 EVALUATION_INTERVAL_SECONDS = 0.25
-COMPARISON_WINDOW_SECONDS = 20.0  # of samples; long enough for small instances, short enough for a late onset
-MAX_SAMPLES_PER_BUILD_ROUTE = 2000  # of a route at a build, so that an evaluation stays short
-MIN_SLICE_SECONDS = 2.0  # whose times are compared, at least: shorter than an overload
-MEAN_SAMPLES_PER_SLICE = 4.0  # of a route in a slice, on average
-MIN_BASELINE_TIMES = 3  # that make a slice or a server count
 
-FAILURE_SHARE_MARGIN = 0.02  # as a share of the attempts
-MAX_LATENCY_RATIO = 1.5  # times the baseline's median
+# Age up to which samples are compared. Long enough for instances with little traffic, short enough to notice
+# a fault that sets in late.
+COMPARISON_WINDOW_SECONDS = 20.0
+
+# Bounds the samples of one route at one build, and with them the duration of an evaluation.
+MAX_SAMPLES_PER_BUILD_ROUTE = 2000
+
+# Only times of the same slice are compared. A slice is at least this long, which is shorter than an overload.
+MIN_SLICE_SECONDS = 2.0
+
+# Average number of samples in a slice, which sets its length where all routes are merged.
+MEAN_SAMPLES_PER_SLICE = 4.0
+
+# Number of baseline times from which on a slice is compared, and of times from which on a server is.
+MIN_BASELINE_TIMES = 3
+
+# By how much the candidate's share of failed attempts may exceed the baseline's.
+FAILURE_SHARE_MARGIN = 0.02
 
-MAX_SHARED_LATENCY_RATIO = 1.5  # times the baseline times, which load alone may bring
-POST_RELEASE_WEIGHT = 0.4  # of a slowdown after a release, in place of the traffic share
-POST_RELEASE_SECONDS = 5.0  # after a release in which a slowdown counts: only then all traffic is there
+# Bound on the candidate's times, as a multiple of the baseline's median.
+MAX_LATENCY_RATIO = 1.5
 
-SETTLE_SECONDS = 3.0  # from the newest server's start until a vote to promote
-# After this much more time, an instance that saw too little promotes where many must agree.
+# Bound on the times of all servers, as a multiple of the earlier times. Load alone may explain this much.
+MAX_SHARED_LATENCY_RATIO = 1.5
+
+# Weight of a slowdown of all servers after a release, in place of the traffic share.
+POST_RELEASE_WEIGHT = 0.4
+
+# A slowdown of all servers still counts for this long after a release, as the build gets all traffic only
+# then.
+POST_RELEASE_SECONDS = 5.0
+
+# Time from the newest server's start until a vote to promote.
+SETTLE_SECONDS = 3.0
+
+# Further time after which an instance that saw too few attempts votes to promote, where many must agree.
 LOW_EVIDENCE_DELAY_SECONDS = 2.0
-CONCLUSIVE_DELAY_SECONDS = 2.0  # more, after which clean attempts are enough without peers
-MIN_SUCCEEDED_ATTEMPTS = 3  # that allow to promote where nothing failed
+
+# Further time after which successful attempts are conclusive without the votes of peers.
+CONCLUSIVE_DELAY_SECONDS = 2.0
+
+# Number of successful attempts that is enough to promote if no attempt failed.
+MIN_SUCCEEDED_ATTEMPTS = 3
 
 COMPARED_OUTCOMES = (Outcome.COMPLETED, Outcome.ERROR, Outcome.TIMEOUT)
-NO_LATENCY = -1.0  # in place of the latency of a failure, or of an attempt whose weight is below 1
+
+# Takes the place of the latency of a failed attempt, or of one whose slow-start weight is below 1.
+NO_LATENCY = -1.0
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConditions:
-    """What may slow servers whatever their build."""
+    """Conditions that slow servers of any build.
+
+    Attributes:
+        warm_capacity: Share of the ready servers' capacity that is not missing due to slow start.
+        network_fault: Whether so many connects fail that the network may be the cause of a slowdown.
+    """
 
     warm_capacity: float
-    """Share of the ready servers' capacity that is not missing to slow start."""
     network_fault: bool
-    """Whether so many connects fail that slowness may come from the network."""
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """The samples of a candidate and of the builds that serve, by route."""
+    """The samples to compare.
+
+    Attributes:
+        candidate: The candidate's samples, by route.
+        baseline: The samples of the baseline builds, by route.
+        slice_seconds: The length of one slice, in seconds.
+    """
 
     candidate: SamplesByRoute
     baseline: SamplesByRoute
     slice_seconds: float
-    """Seconds of one slice."""
 
 
 class CanaryAnalysis:
-    """The samples of one instance and what they say of a candidate."""
+    """Collects the samples of one instance and evaluates candidates by them.
+
+    Attributes:
+        samples: The samples of ended attempts, by build and route.
+        baseline_reports: The platform's newest metrics report on a baseline build, by route.
+        interval_requests: Requests since the last evaluation. Requests that end without being served are
+            subtracted, as clients send them again.
+        requests_by_interval: The requests between two evaluations, newest last.
+    """
 
     def __init__(
         self,
@@ -89,13 +141,10 @@
             lambda: deque(maxlen=MAX_SAMPLES_PER_BUILD_ROUTE)
         )
         self.baseline_reports: dict[str, MetricsReport] = {}
-        """The newest report of the platform's metrics on builds that serve, by route."""
         self.interval_requests = 0
-        """Requests since the last evaluation, less those that ended unserved: clients send these again."""
         self.requests_by_interval: deque[int] = deque(
             maxlen=round(COMPARISON_WINDOW_SECONDS / EVALUATION_INTERVAL_SECONDS)
         )
-        """Requests between evaluations, the newest last."""
 
     def record_attempt(
         self,
@@ -107,17 +156,29 @@
         failed: bool,
         now: float,
     ) -> None:
-        """Take in an attempt that its server answered or kept until the timeout.
-
-        `latency` is in seconds, `weight` the server's slow-start weight as the attempt began. A cold server
-        is slow whatever its build: its time says nothing or, where many votes add up, counts by the weight.
+        """Record an attempt that got a response or timed out at the server.
+
+        A cold server is slow whatever its build. Its latency is therefore ignored or, where many votes add
+        up, multiplied by the weight.
+
+        Args:
+            server: The server that the attempt was sent to.
+            build: The build of the server when the attempt was sent.
+            route: The request's route.
+            latency: The latency in seconds.
+            weight: The server's slow-start weight when the attempt began, from 0 to 1.
+            failed: Whether the attempt failed.
+            now: The time in seconds on the runtime's clock.
         """
         has_no_latency = failed or (weight < 1 and not self.thresholds.needs_many_votes)
         time = NO_LATENCY if has_no_latency else latency * weight / route.latency_objective
         self.samples[BuildRoute(build, route.name)].append(AttemptSample(now, time, failed, server.id))
 
     def record_metrics(self, build: int, route: str, report: MetricsReport, ended_at: float) -> None:
-        """Take in the platform's report on a route at a build, whose period ended at `ended_at` seconds."""
+        """Record the platform's metrics report on a route at a build.
+
+        `ended_at` is the end of the report's period, in seconds on the runtime's clock.
+        """
         candidate = self.releases.find(build)
         is_baseline = build < self.releases.newest.build and self.releases.unfinished_release(build) is None
         if is_baseline and report.attempts >= MIN_BASELINE_TIMES:
@@ -130,7 +191,7 @@
             candidate.evidence.metrics.add(adjusted_report, self.baseline_reports[route])
 
     def begin_evaluation(self, now: float) -> None:
-        """Close the interval since the last evaluation and drop the samples that are too old to compare."""
+        """End the interval since the last evaluation, and drop the samples that are too old to compare."""
         self.requests_by_interval.append(self.interval_requests)
         self.interval_requests = 0
         for key, samples in list(self.samples.items()):
@@ -140,14 +201,17 @@
                 del self.samples[key]
 
     def record_baseline(self, candidate: Candidate) -> None:
-        """Remember what was usual before the candidate; without enough of it, the first times must do."""
+        """Record the times and the load from before the candidate as its baseline.
+
+        Without enough earlier times, the first ones after its start take their place.
+        """
         evidence = candidate.evidence
         if sum(map(len, evidence.baseline_times.values())) < self.thresholds.min_latencies:
             evidence.baseline_times = statistics.times_since(self.samples, 0.0)
             evidence.baseline_load = fmean(self.requests_by_interval or [0])
 
     def evaluate(self, candidate: Candidate, conditions: FleetConditions, now: float) -> Evaluation | None:
-        """Compare the candidate with the builds that serve; return the vote to cast, None for none."""
+        """Compare the candidate with the baseline; return the vote to cast, or None for no vote."""
         is_recent = (
             candidate.phase is ReleasePhase.CANDIDATE or now - candidate.released_at < POST_RELEASE_SECONDS
         )
@@ -163,8 +227,8 @@
         worse_metrics = candidate.evidence.metrics.is_worse()
         if failing_now or slower or worse_metrics or (all_servers_slower and is_recent):
             reason = (
-                f"failing routes {sorted(failing_now)}, slower {slower}, "
-                f"worse metrics {worse_metrics}, all servers slower {all_servers_slower}"
+                f"failing routes: {sorted(failing_now)}, servers slower: {slower}, "
+                f"metrics worse: {worse_metrics}, all servers slower: {all_servers_slower}"
             )
             return Evaluation(Vote.ROLLBACK, reason, self._fail_conclusively(failing_now, comparison))
         if candidate.phase is ReleasePhase.CANDIDATE and not self.settings.release.advances_by_timer:
@@ -172,7 +236,7 @@
         return None
 
     def _mean_weight(self, candidate: Candidate, at: float) -> float:
-        """Return the mean slow-start weight, at that moment, of the candidate's ready servers."""
+        """Return the mean slow-start weight of the candidate's ready servers at the given time."""
         weights = [
             self.slow_start.weight(server.started_at, at)
             for build, servers in self.endpoints.ready_by_build.items()
@@ -225,9 +289,9 @@
     def _fails_more(
         self, samples: Sequence[AttemptSample], baseline: Sequence[AttemptSample], failures_needed: int
     ) -> bool:
-        """Whether the candidate fails more, even without the servers that fail most.
+        """Return whether the candidate fails more than the baseline, even without the servers that fail most.
 
-        With fewer than `failures_needed` failures it does not.
+        With fewer than `failures_needed` failures the result is False.
         """
         if sum(sample.failed for sample in samples) < failures_needed:
             return False
@@ -240,10 +304,11 @@
         return failed / sum(count.total for count in counts) > baseline_share + FAILURE_SHARE_MARGIN
 
     def _servers_are_slower(self, comparison: Comparison) -> bool:
-        """Whether the candidate's servers are slower, each counting alike.
+        """Return whether the candidate's servers are slower than the baseline's.
 
-        The quickest servers get most requests: where the candidate has few, its times alone would read as
-        slower.
+        Two tests must agree: the one compares all times, the other the servers, each with the same weight.
+        The fastest servers get most of the requests. A candidate with few servers would therefore appear
+        slower by its times alone.
         """
         excluded_count = self.thresholds.excluded_servers
         candidate_samples = statistics.exclude_slowest_servers(comparison.candidate, excluded_count)
@@ -258,7 +323,10 @@
         return log_ratio.mean > self.thresholds.standard_errors * log_ratio.standard_error
 
     def _latency_ratio(self, times: TimesBySlice, baseline: TimesBySlice) -> float:
-        """Return how many times slower the one is, all routes and slices together; 1 in doubt."""
+        """Return how many times the baseline's times are exceeded, over all routes and slices.
+
+        The result is 1 if there are too few times or the difference is not significant.
+        """
         if self.thresholds.needs_many_votes:
             times = statistics.merge_routes(times)
             baseline = statistics.merge_routes(baseline)
@@ -274,10 +342,10 @@
     def _accumulate_shared_slowdown(
         self, candidate: Candidate, conditions: FleetConditions, slice_seconds: float, now: float
     ) -> None:
-        """Add up by how much all servers have slowed since before the candidate, beyond what load explains.
+        """Add to the candidate's shared slowdown by how much all servers are slower than before it.
 
-        Cold servers take capacity away, and the load grows: as much slowness is not the candidate's.
-        The excess is summed over time, so that one bad slice is not enough.
+        Missing capacity of cold servers and a grown load explain a part of the slowdown, which is not
+        attributed to the candidate. The rest is summed over time, so that one bad slice is not enough.
         """
         evidence = candidate.evidence
         recent_times = statistics.times_since(self.samples, now - 2 * slice_seconds)
@@ -296,7 +364,11 @@
         evidence.shared_slowdown = max(0.0, evidence.shared_slowdown + increment)
 
     def _promotion(self, candidate: Candidate, comparison: Comparison, now: float) -> Evaluation | None:
-        """Return a vote to promote if the servers have settled, enough was seen and nothing gives a doubt."""
+        """Return a vote to promote the candidate, or None.
+
+        Its servers must have run for a while, enough attempts must have succeeded, and nothing may speak
+        against the candidate.
+        """
         ages = [server.age(now) for server in self.endpoints.ready_by_build.get(candidate.build, ())]
         if not ages or min(ages) < SETTLE_SECONDS or candidate.evidence.shared_slowdown:
             return None
@@ -309,10 +381,13 @@
             return None
         conclusive_age = SETTLE_SECONDS + LOW_EVIDENCE_DELAY_SECONDS + CONCLUSIVE_DELAY_SECONDS
         conclusive = succeeded >= MIN_SUCCEEDED_ATTEMPTS and youngest_age > conclusive_age
-        return Evaluation(Vote.PROMOTE, f"clean attempts {succeeded}, failed {failed}", conclusive)
+        return Evaluation(Vote.PROMOTE, f"attempts succeeded: {succeeded}, failed: {failed}", conclusive)
 
     def _has_enough_attempts(self, succeeded: int, failed: int, youngest_age: float) -> bool:
-        """Whether so many attempts allow a vote to promote; `youngest_age` is the newest server's."""
+        """Return whether there were enough attempts for a vote to promote.
+
+        `youngest_age` is the age of the candidate's newest server, in seconds.
+        """
         if succeeded >= MIN_LATENCIES:
             return True
         if failed:
--- a/gullmount/decisions/metric_totals.py
+++ b/gullmount/decisions/metric_totals.py
@@ -1,7 +1,7 @@
-"""What the platform's own metrics say of a candidate: counts and times of all instances' attempts.
+"""Compares a candidate with the baseline by the platform's metrics.
 
-Every instance gets the same reports, so that chance does not average out between them: the bounds are wider
-than for an instance's own samples.
+The metrics count and time the attempts of all instances. Every instance gets the same reports, so that chance
+does not average out between instances. The bounds are therefore wider than for an instance's own samples.
 """
 
 from __future__ import annotations
@@ -10,35 +10,51 @@
 from math import log, sqrt
 
 STANDARD_ERRORS = 3.0
-MAX_MEAN_TIME_RATIO = 1.5  # times the baseline's mean time
-MAX_EXTRA_LOST_SHARE = 0.1  # of the attempts; wide, as cold servers lose some too
+
+# Bound on the candidate's mean time, divided by the baseline's.
+MAX_MEAN_TIME_RATIO = 1.5
+
+# Share of the attempts that the candidate may lose beyond the baseline. Wide, as cold servers lose some too.
+MAX_EXTRA_LOST_SHARE = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class MetricsReport:
-    """What the platform reports of one route at one build for one period."""
+    """The platform's report on one route at one build for one period.
+
+    Attributes:
+        attempts: Number of attempts.
+        lost: Number of attempts without a response in time.
+        mean_time: Mean latency of the attempts that got a response, in seconds.
+    """
 
     attempts: int
     lost: int
-    """Attempts without an answer in time."""
     mean_time: float
-    """Seconds of an answered attempt."""
 
 
 @dataclass(slots=True)
 class MetricTotals:
-    """Sums over the reports of a candidate, and what the baseline would have had in its place."""
+    """Sums over the reports on a candidate, and the sums that the baseline would have had in its place.
+
+    Attributes:
+        attempts: Attempts at the candidate.
+        baseline_attempts: Attempts at the baseline in the reports that the candidate was compared with.
+        time: Total latency of the candidate's attempts that got a response, in seconds.
+        baseline_time: Total latency of as many attempts at the baseline, in seconds.
+        lost: Attempts at the candidate without a response in time.
+        baseline_lost: Attempts that the baseline would have lost of as many.
+    """
 
     attempts: int = 0
     baseline_attempts: int = 0
     time: float = 0.0
-    """Seconds of all answered attempts."""
     baseline_time: float = 0.0
     lost: float = 0.0
     baseline_lost: float = 0.0
 
     def add(self, report: MetricsReport, baseline: MetricsReport) -> None:
-        """Take in a report of the candidate beside the baseline's newest one of that route."""
+        """Add a report on the candidate, with the newest report on the baseline for the same route."""
         answered = report.attempts - report.lost
         self.attempts += report.attempts
         self.baseline_attempts += baseline.attempts
@@ -48,7 +64,7 @@
         self.baseline_lost += report.attempts * baseline.lost / baseline.attempts
 
     def is_worse(self) -> bool:
-        """Whether the candidate is slower than the baseline or loses more attempts."""
+        """Return whether the candidate is slower than the baseline or loses more attempts."""
         if not self.time or not self.baseline_time:
             return False
         error_margin = STANDARD_ERRORS * sqrt(1 / self.attempts + 1 / self.baseline_attempts)
--- a/gullmount/decisions/releases.py
+++ b/gullmount/decisions/releases.py
@@ -1,4 +1,4 @@
-"""The builds in release: which is a candidate, at which stage, and which servers belong to it."""
+"""Tracks the builds under release: which are candidates, at which stage, and which servers belong to them."""
 
 from __future__ import annotations
 
@@ -14,26 +14,37 @@
 )
 from gullmount.decisions.statistics import TimesBySlice
 
-INITIAL_BUILD = -1  # stands for whatever runs before the first release status
+# Stands for the builds that run before the first release status arrives.
+INITIAL_BUILD = -1
 
 
 @dataclass(frozen=True, slots=True)
 class CastVote:
-    """What an instance voted last on a candidate."""
+    """The last vote that an instance cast on a candidate.
+
+    Attributes:
+        vote: The vote.
+        conclusive: Whether the instance's own evidence was enough, so that the vote went directly to the
+            release controller.
+    """
 
     vote: Vote
     conclusive: bool
-    """Whether its evidence was enough by itself, so that it went to the release controller directly."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedVote:
-    """A vote that a peer sent."""
+    """A vote that a peer sent.
+
+    Attributes:
+        vote: The vote.
+        stage: The release stage that it applies to.
+        received_at: When it arrived, in seconds on the runtime's clock.
+    """
 
     vote: Vote
     stage: int
     received_at: float
-    """Seconds on the runtime's clock."""
 
 
 NO_VOTE = CastVote(Vote.NONE, conclusive=False)
@@ -41,30 +52,60 @@
 
 @dataclass(slots=True)
 class CanaryEvidence:
-    """What canary analysis keeps of one candidate."""
+    """The state of canary analysis for one candidate.
+
+    Attributes:
+        baseline_times: Times from before the candidate, by route, in latency objectives.
+        baseline_load: Mean number of requests between two evaluations, from before the candidate.
+        metrics: Totals of the platform's metrics.
+        shared_slowdown: By how much all builds have slowed: the logarithm of the slowdown times the traffic
+            share, summed over seconds.
+    """
 
     baseline_times: TimesBySlice = field(default_factory=dict)
-    """Times from before the candidate, by route, in latency objectives."""
     baseline_load: float = 0.0
-    """Requests between two evaluations before the candidate."""
     metrics: MetricTotals = field(default_factory=MetricTotals)
     shared_slowdown: float = 0.0
-    """By how much all builds slowed: logarithm times traffic share, summed over seconds."""
 
 
 @dataclass(slots=True)
 class VotingState:
-    """What voting keeps of one candidate."""
+    """The state of voting for one candidate.
+
+    Attributes:
+        last_vote: The last vote that this instance cast.
+        renew_at: When the last vote is cast again, in seconds on the runtime's clock.
+        peer_votes: The last vote of each peer, by instance number.
+    """
 
     last_vote: CastVote = NO_VOTE
     renew_at: float = 0.0
-    """Seconds on the runtime's clock from which the last vote is cast again."""
     peer_votes: dict[int, ReceivedVote] = field(default_factory=dict)
-    """By instance number."""
 
 
 class Candidate:
-    """A build in release; lives until a newer one is named and it has ended."""
+    """A build under release.
+
+    It is dropped when another build is added, unless several candidates may be in release at once and its own
+    release has not ended.
+
+    Attributes:
+        build: The build's number.
+        stage: The release stage, from 0.
+        phase: The release phase.
+        exposure_limit: Share of the requests that may be sent to the build, from 0 to 1.
+        released_at: When the build was released, in seconds on the runtime's clock; 0 if this instance has
+            not seen its release.
+        traffic_share: Share of the keys that belong to the build, from 0 to 1.
+        limit_factor: Factor of the exposure limit; below 1 while the build's traffic is reduced.
+        hash_end: The end of the hash range from which the traffic share grows: 0 grows upwards, 1 downwards.
+            None while neither end is assigned.
+        peak_traffic_share: The largest traffic share that the build has had.
+        affinity_overflowed: Whether more keys were served by the build than can be remembered one by one.
+        failing_routes: Routes that fail at the build and stay on the baseline.
+        evidence: The state of canary analysis.
+        voting_state: The state of voting.
+    """
 
     def __init__(self, build: int, stage: int, phase: ReleasePhase, exposure_limit: float) -> None:
         self.build = build
@@ -72,32 +113,25 @@
         self.phase = phase
         self.exposure_limit = exposure_limit
         self.released_at = 0.0
-        """Seconds on the runtime's clock; 0 if it has not been released under this instance's eyes."""
         self.traffic_share = 0.0
-        """Share of the keys that belong to it, from 0 to 1."""
         self.limit_factor = 1.0
-        """Factor of the exposure limit, below 1 while its traffic is reduced."""
         self.hash_end: int | None = None
-        """The end of the hash range that its share grows from: 0 from below, 1 from above."""
         self.peak_traffic_share = 0.0
-        """The largest traffic share that it has had."""
         self.affinity_overflowed = False
-        """Whether more keys met it than are remembered one by one."""
         self.failing_routes: set[str] = set()
-        """Routes that stay on the baseline."""
         self.evidence = CanaryEvidence()
         self.voting_state = VotingState()
 
     def contains(self, hash_position: float) -> bool:
-        """Whether the position lies in its present share of the hash range."""
+        """Return whether the position lies in the build's current share of the hash range."""
         return self._covers(self.traffic_share, hash_position)
 
     def ever_contained(self, hash_position: float) -> bool:
-        """Whether the position lies in the widest share that it has had."""
+        """Return whether the position lies in the largest share of the hash range that the build has had."""
         return self._covers(self.peak_traffic_share, hash_position)
 
     def advance(self, stage: int, phase: ReleasePhase, exposure_limit: float, now: float) -> None:
-        """Take over a release status; its share never stays above the limit."""
+        """Apply a release status, and cut the traffic share to the new exposure limit."""
         if phase is ReleasePhase.RELEASED and self.phase is ReleasePhase.CANDIDATE:
             self.released_at = now
         if phase in ROLLBACK_PHASES:
@@ -112,7 +146,7 @@
 
 
 class Releases:
-    """The builds that release statuses have named and that still matter, the newest last."""
+    """The builds named by release statuses that still matter, sorted from oldest to newest."""
 
     def __init__(self, settings: ReleaseSettings) -> None:
         self.settings = settings
@@ -121,17 +155,17 @@
 
     @property
     def newest(self) -> Candidate:
-        """The newest build that was named."""
+        """The newest build that a release status has named."""
         return self.candidates[-1]
 
     def find(self, build: int) -> Candidate | None:
-        """Return the build's release, None where it is not known."""
+        """Return the build's release, or None if the build is not known."""
         return next((candidate for candidate in self.candidates if candidate.build == build), None)
 
     def unfinished_release(self, build: int) -> Candidate | None:
-        """Return the unfinished release that servers of the build belong to, None where the build serves.
+        """Return the unfinished release that servers of the build belong to, or None for a baseline build.
 
-        Servers of a build that is newer than all named ones belong to the newest release.
+        Servers of a build newer than every named build belong to the newest release.
         """
         newest = self.newest
         candidate = newest if build >= newest.build else self.find(build)
@@ -142,13 +176,21 @@
         return candidate
 
     def admits(self, build: int, phase: ReleasePhase) -> bool:
-        """Whether the status of a build that is not known is news: an older one ended long ago."""
+        """Return whether a status of a build that is not known yet begins a release.
+
+        The release of an unknown older build ended long ago, unless it is a candidate and several candidates
+        may be in release at once.
+        """
         if build >= self.newest.build:
             return True
         return phase is ReleasePhase.CANDIDATE and self.settings.concurrent_candidates > 1
 
     def add(self, build: int, stage: int, exposure_limit: float) -> Candidate:
-        """Begin a release; of the others those that have not ended stay, where several may run."""
+        """Begin the release of a build.
+
+        Where several candidates may be in release at once, the unfinished releases are kept. All other
+        releases are dropped.
+        """
         new_candidate = Candidate(build, stage, self.newest.phase, exposure_limit)
         allows_several = self.settings.concurrent_candidates > 1
         kept = [other for other in self.candidates if allows_several and other.phase in UNFINISHED_PHASES]
--- a/gullmount/decisions/statistics.py
+++ b/gullmount/decisions/statistics.py
@@ -1,6 +1,6 @@
-"""The statistics that canary analysis compares builds by: medians, rank tests, sums by server.
+"""Statistics for comparing builds: medians, rank tests and sums per server.
 
-Times are in latency objectives. Nothing here decides anything.
+Times are latencies divided by the route's latency objective. This module decides nothing.
 """
 
 from __future__ import annotations
@@ -12,11 +12,17 @@
 from statistics import fmean, median
 from typing import NamedTuple
 
-ALL_ROUTES = ""  # stands for the route where routes are taken together
+# Takes the place of a route name where all routes are merged.
+ALL_ROUTES = ""
 
 
 class RouteSlice(NamedTuple):
-    """A route during one slice of time."""
+    """A route during one slice of time.
+
+    Attributes:
+        route: The route's name, or `ALL_ROUTES`.
+        slice: The slice's number.
+    """
 
     route: str
     slice: int
@@ -26,18 +32,23 @@
 
 
 class AttemptSample(NamedTuple):
-    """What canary analysis keeps of an attempt that ended."""
+    """What canary analysis stores of an attempt that has ended.
+
+    Attributes:
+        at: When the attempt ended, in seconds on the runtime's clock.
+        time: The latency in latency objectives; below 0 where the attempt has no usable latency.
+        failed: Whether the attempt failed.
+        server_id: The server that the attempt was sent to.
+    """
 
     at: float
-    """Seconds on the runtime's clock."""
     time: float
-    """Latency objectives; below 0 where the attempt says nothing of them."""
     failed: bool
     server_id: str
 
 
 class BuildRoute(NamedTuple):
-    """The attempts of one route at one build."""
+    """Key of the attempts of one route at one build."""
 
     build: int
     route: str
@@ -48,37 +59,47 @@
 
 
 class ServerCounts(NamedTuple):
-    """Attempts at one server."""
+    """Attempts at one server: those that failed, and all of them."""
 
     failed: int
     total: int
 
 
 class RankTest(NamedTuple):
-    """The Mann-Whitney test of one group of times against another, summed over parts."""
+    """Result of a Mann-Whitney test of one group of times against another, summed over route slices.
+
+    Attributes:
+        ratios: Each time of the group, divided by the other group's median in the same route slice.
+        surplus: Number of pairs in which the group is slower, less the number expected by chance.
+        variance: Variance of the surplus if the two groups don't differ.
+    """
 
     ratios: list[float]
-    """Each time over the median of the other group in the same part."""
     surplus: float
-    """Pairs in which the group is slower, beyond those that chance gives."""
     variance: float
-    """Of the surplus, if the groups don't differ."""
 
 
 class ServerDifference(NamedTuple):
-    """How much slower one group's servers are than another's."""
+    """How much slower the servers of one group are than those of another.
+
+    Attributes:
+        mean: Natural logarithm of the ratio of the times; each server has the same weight.
+        standard_error: Standard error of the mean, from the spread within each group; 0 if it is not known.
+    """
 
     mean: float
-    """Natural logarithm of the ratio, each server counting alike."""
     standard_error: float
-    """By how far servers of one group lie apart; 0 where that is not known."""
 
 
+# Its mean exceeds any multiple of its standard error, so that it passes as a significant difference.
 UNKNOWN_DIFFERENCE = ServerDifference(1.0, 0.0)
 
 
 def rank_surplus(compared_group: Sequence[float], baseline_group: Sequence[float]) -> tuple[float, float]:
-    """Return by how many pairs `compared_group` ranks above chance, and that number's variance."""
+    """Return the Mann-Whitney statistic of two groups, less its mean by chance, and its variance.
+
+    The statistic is the number of pairs in which the compared group's value is the higher one.
+    """
     sorted_baseline = sorted(baseline_group)
     wins = sum(
         (bisect_left(sorted_baseline, time) + bisect_right(sorted_baseline, time)) / 2
@@ -89,7 +110,10 @@
 
 
 def rank_test(times: TimesBySlice, baseline: TimesBySlice, min_times: int) -> RankTest:
-    """Compare the times part by part; a part counts with `min_times` baseline times or more."""
+    """Compare two groups of times, route slice by route slice.
+
+    Route slices with fewer than `min_times` baseline times are left out.
+    """
     ratios: list[float] = []
     surplus = variance = 0.0
     for route_slice, compared_times in times.items():
@@ -105,7 +129,7 @@
 
 
 def merge_routes(times: TimesBySlice) -> TimesBySlice:
-    """Take the routes of each slice together."""
+    """Merge the times of all routes within each slice."""
     merged: TimesBySlice = defaultdict(list)
     for (_, slice_number), route_times in times.items():
         merged[RouteSlice(ALL_ROUTES, slice_number)] += route_times
@@ -113,7 +137,7 @@
 
 
 def times_by_slice(samples: Mapping[str, Iterable[AttemptSample]], slice_seconds: float) -> TimesBySlice:
-    """Group the times by route and slice of time, so that only times of the same seconds are compared."""
+    """Group the samples' times by route and slice, so that only times of the same seconds are compared."""
     times: TimesBySlice = {}
     for route, route_samples in samples.items():
         by_slice: dict[int, list[float]] = defaultdict(list)
@@ -128,7 +152,7 @@
 def samples_of_builds(
     samples: Samples, builds: Collection[int], route: str, since: float
 ) -> list[AttemptSample]:
-    """Return the samples of the route at these builds since then."""
+    """Return the route's samples at the given builds from the time `since` on."""
     return [
         sample
         for (build, build_route), build_samples in samples.items()
@@ -139,7 +163,7 @@
 
 
 def times_since(samples: Samples, since: float) -> TimesBySlice:
-    """Return the times of each route since then, whatever the build, as one slice."""
+    """Return each route's times from the time `since` on, at all builds, as a single slice."""
     times: TimesBySlice = defaultdict(list)
     for (_, route), route_samples in samples.items():
         recent = [sample.time for sample in route_samples if sample.at >= since and sample.time >= 0]
@@ -148,7 +172,7 @@
 
 
 def count_by_server(samples: Iterable[AttemptSample]) -> list[ServerCounts]:
-    """Return the counts of each server, those that fail most first."""
+    """Count the attempts at each server; servers with the most failures come first."""
     failures: dict[str, int] = defaultdict(int)
     totals: dict[str, int] = defaultdict(int)
     for sample in samples:
@@ -161,7 +185,12 @@
 def exclude_slowest_servers(
     samples: SamplesByRoute, excluded_count: Callable[[int], int]
 ) -> dict[str, list[AttemptSample]]:
-    """Leave out the servers with the longest mean times, as many as the callable says for their number."""
+    """Return the samples without those of the servers with the longest mean times.
+
+    Args:
+        samples: The samples by route.
+        excluded_count: Returns how many servers to leave out, given the number of servers.
+    """
     times: dict[str, list[float]] = defaultdict(list)
     for route_samples in samples.values():
         for sample in route_samples:
@@ -182,8 +211,8 @@
 ) -> ServerDifference:
     """Return how much slower the servers of `samples` are than those of the baseline.
 
-    Servers with fewer than `min_times` times are left out. Without one of the samples' and two of the
-    baseline's, how far servers lie apart is not known.
+    Servers with fewer than `min_times` times are left out. `UNKNOWN_DIFFERENCE` is returned unless one server
+    of the samples and two of the baseline remain.
     """
     route_medians: dict[str, float] = {}
     for route, route_samples in baseline.items():
@@ -205,7 +234,7 @@
 def _mean_logarithms(
     samples: Mapping[str, Iterable[AttemptSample]], route_medians: Mapping[str, float], min_times: int
 ) -> list[float]:
-    """Return for each server the mean logarithm of its times over the route's middle."""
+    """Return each server's mean logarithm of its times, each divided by its route's median."""
     logarithms: dict[str, list[float]] = defaultdict(list)
     for route, route_median in route_medians.items():
         for sample in samples[route]:
--- a/gullmount/decisions/traffic_split.py
+++ b/gullmount/decisions/traffic_split.py
@@ -1,8 +1,10 @@
 """The traffic split: which build a key belongs to, and how a candidate's share of the keys grows.
 
-A key's hash position decides: below the share of the first candidate, or above that of a second one, the
-key belongs to it. The share rises toward a part of the exposure limit as far as the candidate's warm
-servers carry it, and falls only with the limit, so that a key that met the candidate stays there.
+The hash position of a key decides which build it belongs to. One candidate has the lower end of the hash
+range, a second one the upper end, each as wide as its traffic share.
+
+A traffic share rises toward a part of the exposure limit, as far as the candidate's warm servers can carry
+the load. It falls only with the limit, so that a key that was served by the candidate stays there.
 """
 
 from __future__ import annotations
@@ -13,30 +15,43 @@
 from gullmount.decisions.releases import Candidate, Releases
 from gullmount.decisions.requests import Request
 
-TARGET_LIMIT_SHARE = 0.8  # of the exposure limit; the rest is room for chance and retries
-RAMP_SECONDS = 3.0  # in which a share rises to what it may be
-MAX_RELATIVE_LOAD = 1.1  # times the load of the baseline's servers: what is loaded more reads as slower
+# Share of the exposure limit that is used. The rest leaves room for chance and retries.
+TARGET_LIMIT_SHARE = 0.8
+
+# Time in which a traffic share rises from 0 to its target.
+RAMP_SECONDS = 3.0
+
+# Bound on the load of a candidate's servers, as a multiple of the load of the other servers. A candidate
+# whose servers have more load would appear slower than the baseline.
+MAX_RELATIVE_LOAD = 1.1
 
+# The ends of the hash range, from which the shares of two candidates grow.
 HASH_ENDS = {0, 1}
 
 
 class TrafficSplit:
-    """The shares of all candidates."""
+    """The traffic shares of all candidates.
+
+    Attributes:
+        updated_at: When the shares were last updated, in seconds on the runtime's clock.
+        warm_capacity: Share of the capacity of all ready servers that is not missing due to slow start.
+    """
 
     def __init__(self, releases: Releases, endpoints: EndpointTable, affinity: Affinity, now: float) -> None:
         self.releases = releases
         self.endpoints = endpoints
         self.affinity = affinity
         self.updated_at = now
-        """Seconds on the runtime's clock."""
         self.warm_capacity = 1.0
-        """Share of the capacity of all ready servers that is not missing to slow start."""
 
     def candidate_for(self, request: Request) -> Candidate | None:
-        """Return the candidate that the request's key belongs to, None for the baseline.
+        """Return the candidate that the request belongs to, or None for the baseline.
 
-        A key that met a build stays with it. A retry, a route that fails and a key with attempts in flight
-        at an older build go to the baseline.
+        A key that was served by a candidate stays with it, unless the route fails there and the key may go
+        back to an older build (`one_way` is off). Any other key belongs to the candidate that its hash
+        position is assigned to, with three exceptions that go to the baseline: a route that fails at the
+        candidate, a retry of an attempt at a candidate, and a key with an attempt in flight at an older
+        build.
         """
         remembered = self._remembered_candidate(request)
         if remembered is not None:
@@ -50,7 +65,10 @@
         return None if self.affinity.has_attempt_before(request, candidate.build) else candidate
 
     def update(self, now: float) -> None:
-        """Move each candidate's share toward what it may be; called at every evaluation."""
+        """Raise each candidate's traffic share toward its target, and cut it to its limit.
+
+        Called at every evaluation.
+        """
         candidates = self.releases.candidates
         missing = self._missing_capacity(now)
         ready_counts = [self._ready_servers(candidate) for candidate in candidates]
@@ -80,7 +98,7 @@
         return newest if newest.contains(hash_position) else None
 
     def _ready_servers(self, candidate: Candidate | None) -> int:
-        """Count the ready servers that belong to the candidate; to none, so those that serve."""
+        """Count the ready servers that belong to the candidate, or to the baseline for None."""
         ready_by_build = self.endpoints.ready_by_build.items()
         return sum(
             len(servers)
@@ -89,7 +107,10 @@
         )
 
     def _missing_capacity(self, now: float) -> list[float]:
-        """Return how many servers' capacity is missing to slow start, by candidate."""
+        """Return for each candidate how much capacity is missing due to slow start, in servers.
+
+        Updates `warm_capacity`.
+        """
         self.endpoints.drop_warm(now)
         weight = self.endpoints.slow_start.weight
         missing: list[float] = [
@@ -104,7 +125,13 @@
         return missing
 
     def _raise_share(self, candidate: Candidate, even_share: float, now: float) -> None:
-        """Raise a candidate's share; `even_share` loads its servers as much as the others."""
+        """Raise a candidate's traffic share toward its target, and cut it to its limit.
+
+        Args:
+            candidate: The candidate.
+            even_share: The traffic share at which its servers have the same load as the others.
+            now: The time in seconds on the runtime's clock.
+        """
         others = [
             other
             for other in self.releases.candidates
@@ -126,7 +153,7 @@
         candidate.peak_traffic_share = max(candidate.peak_traffic_share, candidate.traffic_share)
 
     def _limit(self, candidate: Candidate) -> float:
-        """Return the candidate's exposure limit; the first stage's as long as no server of it is ready."""
+        """Return the exposure limit; that of the first stage while no server of the candidate is ready."""
         has_ready_servers = candidate.build in self.endpoints.ready_by_build
         if has_ready_servers and self.releases.unfinished_release(candidate.build) is candidate:
             return candidate.exposure_limit
