--- a/gullmount/simulator/__init__.py
+++ b/gullmount/simulator/__init__.py
@@ -1,5 +1,5 @@
-"""The adapter to the simulator: JSON lines in, calls on routers, JSON lines out.
+"""Adapter to the simulator: reads events as JSON lines, calls the routers, and writes actions as JSON lines.
 
-`wire` holds the events and actions with the simulator's names for them, `instance` runs one router on them,
-and `adapter` reads and answers the lines of all instances.
+`wire` defines the events and actions with their names on the wire. `instance` runs one router. `adapter`
+reads the events of all instances and writes their actions.
 """
--- a/gullmount/simulator/__main__.py
+++ b/gullmount/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the adapter on standard input and output."""
+"""Runs the simulator adapter on standard input and output."""
 
 import sys
 
--- a/gullmount/simulator/adapter.py
+++ b/gullmount/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter process: hands events to the instances and answers each batch with their actions."""
+"""The adapter process: passes events to the instances and responds to each batch with their actions."""
 
 from __future__ import annotations
 
@@ -14,16 +14,27 @@
 
 
 class Adapter:
-    """The clock, the pages of servers and the instances of one process, and the actions not sent yet."""
+    """Runs the instances of one adapter process.
+
+    Attributes:
+        clock: The time of the current events, in seconds.
+        pages: The pages of servers, by number.
+        instances: The running instances, by number.
+        actions: The actions that have not been sent yet.
+    """
 
     def __init__(self) -> None:
-        self.clock = 0.0  # seconds
+        self.clock = 0.0
         self.pages: dict[int, list[Endpoint]] = {}
         self.instances: dict[int, Instance] = {}
         self.actions: list[wire.Action] = []
 
     def handle(self, event: wire.Event) -> None:
-        """Take one event other than the end of a batch; raises MalformedLineError."""
+        """Handle one event other than the end of a batch.
+
+        Raises:
+            MalformedLineError: The event refers to something that does not exist, or has an invalid value.
+        """
         if isinstance(event, wire.ClockSet):
             self.clock = seconds_from_microseconds(event.time_us)
         elif isinstance(event, wire.EndpointPage):
@@ -37,7 +48,7 @@
             instance.handle(event)
 
     def end_batch(self) -> bytes:
-        """Return the lines that answer the batch."""
+        """Return the lines that respond to the batch, and clear the actions."""
         lines = wire.encode_batch(self.actions)
         self.actions.clear()
         return lines
@@ -57,7 +68,15 @@
 
 
 def serve(input_lines: Iterable[bytes], output: BinaryIO) -> None:
-    """Answer every batch of lines until the input ends; raises MalformedLineError."""
+    """Respond to every batch of lines until the input ends.
+
+    Args:
+        input_lines: The simulator's lines. Blank lines are skipped.
+        output: Gets the responses; flushed after each batch.
+
+    Raises:
+        MalformedLineError: A line is malformed.
+    """
     adapter = Adapter()
     for line in input_lines:
         if not line.strip():
--- a/gullmount/simulator/instance.py
+++ b/gullmount/simulator/instance.py
@@ -1,6 +1,6 @@
-"""One router instance in the simulator: events become calls on it, and what it asks for becomes actions.
+"""One router instance in the simulator: events become calls on the router, and its calls become actions.
 
-Only names and units change here; every decision is the router's.
+Only names and units are converted here. The router makes every decision.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class Instance:
-    """A router with its timers and open requests; it is the runtime of the router.
+    """A router with its timers and open requests. The instance is the router's runtime.
 
     Args:
-        number: Its number among all instances.
+        number: The number of the instance.
         settings: The settings of the router.
-        clock: Returns the time in seconds.
+        clock: Returns the current time in seconds.
         pages: The pages of servers that endpoint updates refer to.
-        act: Called with each action, in order.
+        emit: Called with each action, in the order in which they are to be sent.
     """
 
     def __init__(
@@ -47,14 +47,14 @@
         self.timer_callbacks: dict[int, Callable[[], None]] = {}
         self.router = Router(self, settings)
 
-    # What the router asks for
+    # Calls of the router
 
     def forward(self, request_id: str, server_id: str, timeout: float) -> None:
-        """Start an attempt; `timeout` in seconds."""
+        """Start an attempt with a timeout in seconds."""
         self.emit(wire.Forward(self.number, request_id, server_id, wire.microseconds(timeout)))
 
     def reject(self, request_id: str, retry_after: float) -> None:
-        """Reject a request; `retry_after` in seconds."""
+        """Reject a request. The client may retry it after `retry_after` seconds."""
         self.emit(wire.Reject(self.number, request_id, wire.microseconds(retry_after)))
 
     def fail(self, request_id: str) -> None:
@@ -62,31 +62,35 @@
         self.emit(wire.Fail(self.number, request_id))
 
     def call_after(self, delay: float, callback: Callable[[], None]) -> None:
-        """Call back after a delay in seconds."""
+        """Call the callback once after a delay in seconds."""
         self.timer_count += 1
         self.timer_callbacks[self.timer_count] = callback
         self.emit(wire.SetTimer(self.number, self.timer_count, wire.microseconds(delay)))
 
     def vote(self, build: int, stage: int, vote: Vote) -> None:
-        """Vote on a build."""
+        """Cast a vote on a build."""
         self.emit(wire.cast_vote(self.number, build, stage, vote))
 
     def gossip_vote(self, peer: int, build: int, stage: int, vote: Vote) -> None:
-        """Tell a peer of a vote."""
+        """Send a vote to a peer."""
         self.emit(wire.gossip_vote(self.number, peer, build, stage, vote))
 
     def watch_endpoints(self) -> None:
-        """Watch the endpoint list."""
+        """Subscribe to the endpoint list."""
         self.emit(wire.WatchEndpoints(self.number))
 
     def log(self, text: str) -> None:
-        """Log a text for people."""
+        """Log a message for operators."""
         self.emit(wire.LogMessage(self.number, text))
 
-    # What the simulator says
+    # Events of the simulator
 
     def handle(self, event: wire.InstanceEvent) -> None:
-        """Pass an event on to the router; raises MalformedLineError where it names what isn't there."""
+        """Pass an event to the router.
+
+        Raises:
+            MalformedLineError: The event refers to something that does not exist.
+        """
         self.HANDLERS[type(event)](self, event)
 
     def _on_new_request(self, event: wire.NewRequest) -> None:
@@ -100,7 +104,7 @@
     def _on_attempt_result(self, event: wire.AttemptResult) -> None:
         request = self.requests.get(event.request_id)
         if request is None or event.attempt not in request.attempts_in_flight:
-            problem = f"fields Id and Hop name no attempt in flight: {event.request_id} {event.attempt}"
+            problem = f"no attempt in flight has Id {event.request_id} and Hop {event.attempt}"
             raise InvalidFieldError("Result", problem)
         outcome = look_up(wire.OUTCOMES, "Result", "Disposition", event.outcome)
         request.attempt_ended(
@@ -125,7 +129,7 @@
 
     def _on_timer_due(self, event: wire.TimerDue) -> None:
         if event.timer not in self.timer_callbacks:
-            raise InvalidFieldError("Due", f"field Name is no timer that was set: {event.timer}")
+            raise InvalidFieldError("Due", f"no timer is set with Name {event.timer}")
         self.timer_callbacks.pop(event.timer)()
 
     def _on_endpoint_update(self, event: wire.EndpointUpdate) -> None:
@@ -143,7 +147,10 @@
         self.router.update_release(event.build, event.stage, phase, event.exposure_limit)
 
     def _on_peer_message(self, event: wire.PeerMessage) -> None:
-        """Drop what is no vote: whoever sent it, it must not end this instance."""
+        """Record a peer's vote, and ignore any other text.
+
+        An invalid message must not terminate this instance, whoever sent it.
+        """
         vote = decode_peer_vote(event.text)
         if vote is not None:
             self.router.receive_vote(event.peer, vote.build, vote.stage, vote.vote)
@@ -160,7 +167,7 @@
         )
 
     def _on_ignored(self, _event: wire.InstanceEvent) -> None:
-        """Take an event that no decision uses."""
+        """Ignore an event that no decision uses."""
 
     HANDLERS: ClassVar[Mapping[type[wire.InstanceEvent], Callable[[Any, Any], None]]] = {
         wire.NewRequest: _on_new_request,
--- a/gullmount/simulator/wire.py
+++ b/gullmount/simulator/wire.py
@@ -1,7 +1,8 @@
-"""The simulator's wire: its events, actions and values under the names that the code has for them.
+"""Wire format of the simulator: maps its events, actions and values to the names used in the code.
 
-Each line is a JSON object whose `verb` says which event or action it is. This module alone knows the words on
-the wire. Times are whole microseconds on the wire, in fields whose names end in `_us`.
+Each line is a JSON object whose field `verb` says which event or action it is. The names on the wire are
+defined in this module; other modules use them in error messages only. Times on the wire are whole
+microseconds, in attributes whose names end in `_us`.
 """
 
 from __future__ import annotations
@@ -70,7 +71,17 @@
 
 
 def look_up(table: Mapping[Key, Value], verb: str, field_name: str, value: Key | None) -> Value:
-    """Return what a field's value stands for; raises UnknownValueError where it stands for nothing."""
+    """Return the table's entry for a field's value.
+
+    Args:
+        table: The known values.
+        verb: The verb of the line, for the error message.
+        field_name: The name of the field on the wire, for the error message.
+        value: The field's value.
+
+    Raises:
+        UnknownValueError: The value is not in the table.
+    """
     if value is None or value not in table:
         raise UnknownValueError(verb, field_name, value)
     return table[value]
@@ -80,21 +91,21 @@
 
 
 class Event(msgspec.Struct, tag_field="verb"):
-    """What the simulator says."""
+    """Base class of the events that the simulator sends."""
 
 
 class ClockSet(Event, tag="Sync"):
-    """The time of all events up to the next one of this kind."""
+    """Sets the time of all events up to the next event of this type."""
 
     time_us: int = field(name="TsUs")
 
 
 class BatchEnd(Event, tag="Go"):
-    """The end of a batch of events: the simulator waits for the actions."""
+    """Ends a batch of events. The simulator waits for the actions."""
 
 
 class EndpointEntry(msgspec.Struct):
-    """One server of a page."""
+    """A server in a page."""
 
     server_id: str = field(name="Box")
     zone: str = field(name="Zone")
@@ -105,7 +116,11 @@
     started_at_us: int | None = field(name="LastStartUs", default=None)
 
     def endpoint(self) -> Endpoint:
-        """Return the server as the router takes it; raises UnknownValueError."""
+        """Convert the entry to an endpoint for the router.
+
+        Raises:
+            UnknownValueError: The state is not known.
+        """
         return Endpoint(
             server_id=self.server_id,
             zone=self.zone,
@@ -118,38 +133,38 @@
 
 
 class EndpointPage(Event, tag="Page"):
-    """A list of servers that later events refer to by its number."""
+    """Defines a list of servers, which later events refer to by its number."""
 
     number: int = field(name="Buffer")
     entries: list[EndpointEntry] = field(name="Lines")
 
 
 class InstanceEvent(Event):
-    """An event for one instance."""
+    """Base class of the events for one instance."""
 
     instance: int = field(name="Who")
 
 
 class InstanceStart(InstanceEvent, tag="Spawn"):
-    """A new instance; it replaces an earlier one of its number."""
+    """Starts an instance, which replaces an earlier one with the same number."""
 
     seed: int = field(name="RngSeed")
     settings: dict[str, Any] = field(name="ProfileData")
 
 
 class InstanceEnd(InstanceEvent, tag="Exit"):
-    """The instance is gone, with all that it knew."""
+    """Ends an instance. Its state is lost."""
 
 
 class EndpointUpdate(InstanceEvent, tag="Fleet"):
-    """A page for the endpoint list; no page where the list was refused."""
+    """Updates the endpoint list with a page. There is no page if the watch was refused."""
 
     kind: str = field(name="Kind")
     page: int | None = field(name="Buffer", default=None)
 
 
 class NewRequest(InstanceEvent, tag="NewRequest"):
-    """A request to route."""
+    """A client sent a request."""
 
     request_id: str = field(name="Id")
     route: str = field(name="Grade")
@@ -158,7 +173,7 @@
 
 
 class AttemptResult(InstanceEvent, tag="Result"):
-    """An attempt ended; `final` says that its request is over."""
+    """An attempt ended. `final` says whether the request is over."""
 
     request_id: str = field(name="Id")
     attempt: int = field(name="Hop")
@@ -168,36 +183,39 @@
 
 
 class ResponseStart(InstanceEvent, tag="Begun"):
-    """A streamed response has started."""
+    """A streamed response started."""
 
     request_id: str = field(name="Id")
     attempt: int = field(name="Hop")
 
 
 class ClientLeft(InstanceEvent, tag="Left"):
-    """The client doesn't wait for the response any more."""
+    """The client stopped waiting for the response."""
 
     request_id: str = field(name="Id")
 
 
 class TimerDue(InstanceEvent, tag="Due"):
-    """A timer that the instance set has run out."""
+    """A timer of the instance expired."""
 
     timer: int = field(name="Name")
 
 
 class ReleaseResponse(InstanceEvent, tag="RolloutState"):
-    """The answer to a vote, or news of a build, before its outcome is known."""
+    """The response to a vote, or the release status of a build.
+
+    Only the outcome is decoded here. It decides whether the line becomes a `VoteFailed` or a `ReleaseUpdate`.
+    """
 
     outcome: int = field(name="Disposition")
 
 
 class VoteFailed(InstanceEvent, tag="RolloutState"):
-    """A vote got no good answer."""
+    """A vote failed: the outcome of its response is not `Outcome.COMPLETED`."""
 
 
 class ReleaseUpdate(InstanceEvent, tag="RolloutState"):
-    """The state of one build; `exposure_limit` as a share from 0 to 1."""
+    """The release status of a build. `exposure_limit` is a share from 0 to 1."""
 
     build: int = field(name="Ver")
     stage: int = field(name="Step")
@@ -206,7 +224,7 @@
 
 
 class Metrics(InstanceEvent, tag="Tally"):
-    """The platform's sums over the attempts at one build on one route."""
+    """The platform's metrics on the attempts of one route at one build."""
 
     route: str = field(name="Grade")
     build: int = field(name="Ver")
@@ -217,18 +235,18 @@
 
 
 class PeerMessage(InstanceEvent, tag="NoteFrom"):
-    """A text that another instance sent."""
+    """Another instance sent a text."""
 
     peer: int = field(name="Neighbour")
     text: str = field(name="Msg")
 
 
 class ProbeResult(InstanceEvent, tag="ProbeResult"):
-    """The result of a health check; no decision uses it."""
+    """The result of a health check. No decision uses it."""
 
 
 class FaultReport(InstanceEvent, tag="ReportedWrong"):
-    """A client's report of a wrong response; no decision uses it."""
+    """A client's report of a wrong response. No decision uses it."""
 
 
 EVENTS: dict[str, type[Event]] = {
@@ -252,7 +270,11 @@
 
 
 def decode_event(line: bytes) -> Event:
-    """Decode one line; raises MalformedLineError."""
+    """Decode one line.
+
+    Raises:
+        MalformedLineError: The line is not an event.
+    """
     try:
         message = json.loads(line)
     except (ValueError, RecursionError) as error:
@@ -288,7 +310,7 @@
 
 
 class Action(msgspec.Struct, tag_field="verb"):
-    """What an instance asks of the simulator; the fields are encoded in their order."""
+    """Base class of the actions that an instance requests. Fields are encoded in the order of definition."""
 
     instance: int = field(name="Who")
 
@@ -302,7 +324,7 @@
 
 
 class Reject(Action, tag="Refuse"):
-    """Reject a request; its client may try again after a while."""
+    """Reject a request. Its client may retry after `retry_after_us`."""
 
     request_id: str = field(name="Id")
     retry_after_us: int = field(name="ComeBackUs")
@@ -315,14 +337,14 @@
 
 
 class SetTimer(Action, tag="SetTimer"):
-    """Answer with TimerDue after a delay."""
+    """Send a `TimerDue` event after a delay."""
 
     timer: int = field(name="Name")
     delay_us: int = field(name="OffsetUs")
 
 
 class CastVote(Action, tag="Ruling"):
-    """Vote on a build."""
+    """Cast a vote on a build."""
 
     build: int = field(name="Ver")
     stage: int = field(name="Step")
@@ -337,33 +359,33 @@
 
 
 class WatchEndpoints(Action, tag="KeepInformed"):
-    """Watch the endpoint list."""
+    """Subscribe to the endpoint list."""
 
     enabled: bool = field(name="On", default=True)
 
 
 class LogMessage(Action, tag="Debug"):
-    """Log a text for people."""
+    """Log a message for operators."""
 
     text: str = field(name="What")
 
 
 def microseconds(seconds: float) -> int:
-    """Return a span in the wire's unit."""
+    """Convert a duration to microseconds, the unit on the wire."""
     return round(seconds * MICROSECONDS_PER_SECOND)
 
 
 def cast_vote(instance: int, build: int, stage: int, vote: Vote) -> CastVote:
-    """Build the action for a vote."""
+    """Return the action that casts a vote."""
     return CastVote(instance, build, stage, VOTE_NUMBERS[vote])
 
 
 def gossip_vote(instance: int, peer: int, build: int, stage: int, vote: Vote) -> SendPeerMessage:
-    """Build the action that tells a peer of a vote."""
+    """Return the action that sends a vote to a peer."""
     return SendPeerMessage(instance, peer, encode_peer_vote(PeerVote(build, stage, vote)))
 
 
 def encode_batch(actions: Iterable[Action]) -> bytes:
-    """Encode the actions, one on a line, and the line that ends the batch."""
+    """Encode the actions, one per line, followed by the line that ends the batch."""
     lines = [json.dumps(msgspec.to_builtins(action), separators=(",", ":")) for action in actions]
     return ("\n".join([*lines, BATCH_END]) + "\n").encode()
