--- a/tests/decisions/test_voting.py
+++ b/tests/decisions/test_voting.py
@@ -14,36 +14,36 @@
 )
 
 
-def test_vote_is_renewed_and_a_failed_one_cast_again() -> None:
+def test_vote_is_renewed_and_a_failed_one_is_cast_again() -> None:
     harness = candidate_harness(vote_lifetime=4.0)
     add_samples(harness, 2, 1.0, 30, span=0.1)
     harness.advance_clock(0.5)
-    cast = len(harness.votes)
+    cast_count = len(harness.votes)
     harness.router.vote_failed()
     harness.advance_clock(0.5)
-    assert len(harness.votes) == cast + 1
+    assert len(harness.votes) == cast_count + 1
     harness.advance_clock(7.0)
-    assert len(harness.votes) >= cast + 4
+    assert len(harness.votes) >= cast_count + 4
 
 
 def test_instance_without_evidence_promotes_where_many_must_agree() -> None:
-    for to_advance, consents in ((200, True), (1, False)):
-        harness = RouterHarness(instance_count=400, votes_to_promote=to_advance, votes_to_roll_back=20)
+    for promote_votes, promotes in ((200, True), (1, False)):
+        harness = RouterHarness(instance_count=400, votes_to_promote=promote_votes, votes_to_roll_back=20)
         harness.list_servers(BASELINE | CANDIDATE)
         harness.set_release()
         harness.advance_clock(10.0)
-        assert (Vote.PROMOTE in votes_of(harness)) is consents
+        assert (Vote.PROMOTE in votes_of(harness)) is promotes
 
 
 def test_one_failure_counts_where_many_votes_add_up() -> None:
-    for back_votes, verdict in ((20, {Vote.ROLLBACK}), (1, set())):
-        harness = candidate_harness(instance_count=400, votes_to_roll_back=back_votes)
+    for rollback_votes, expected_votes in ((20, {Vote.ROLLBACK}), (1, set())):
+        harness = candidate_harness(instance_count=400, votes_to_roll_back=rollback_votes)
         harness.router.canary.samples[2, "pay"].append(AttemptSample(harness.clock, -1.0, True, "b0"))
         harness.advance_clock(0.5)
-        assert votes_of(harness) == verdict
+        assert votes_of(harness) == expected_votes
 
 
-def test_first_instances_vote_for_their_peers_and_others_gossip_to_them() -> None:
+def test_first_instances_cast_votes_of_their_peers_and_others_gossip_to_them() -> None:
     harness = candidate_harness(instance_count=100, gossip_enabled=True)
     for peer in range(50, 55):
         assert not harness.votes
@@ -52,10 +52,10 @@
     harness = candidate_harness(instance_count=100, gossip_enabled=True, instance_number=9)
     add_samples(harness, 2, 1.0, 30, span=0.1)
     harness.advance_clock(0.5)
-    assert {told[0] for told in harness.gossiped} == {0, 1}
+    assert {message[0] for message in harness.gossiped} == {0, 1}
 
 
-def test_peer_votes_of_several_moments_do_not_add_up() -> None:
+def test_peer_votes_far_apart_in_time_do_not_add_up() -> None:
     harness = candidate_harness(instance_count=100, gossip_enabled=True)
     for peer in range(50, 60):
         harness.router.receive_vote(peer, 2, 1, Vote.ROLLBACK)
@@ -63,6 +63,6 @@
     assert Vote.ROLLBACK not in votes_of(harness)
 
 
-def test_more_votes_to_roll_back_than_instances_is_no_crash() -> None:
+def test_router_can_be_built_with_more_votes_to_roll_back_than_instances() -> None:
     """The settings are accepted as valid, so that the router has to be built."""
     assert not RouterHarness(instance_count=1, votes_to_roll_back=15).votes
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -8,7 +8,7 @@
 from gullmount.simulator.adapter import serve
 from gullmount.simulator.errors import MalformedLineError
 
-PROFILE = {
+SETTINGS = {
     "Azs": ["a"],
     "Zone": "a",
     "Me": 0,
@@ -48,9 +48,9 @@
         "MetricsPeriodUs": 0,
     },
 }
-SYNC = {"verb": "Sync", "TsUs": 5000000}
-SPAWN = {"verb": "Spawn", "Who": 3, "RngSeed": 9, "ProfileData": PROFILE}
-PAGE = {
+CLOCK_SET = {"verb": "Sync", "TsUs": 5000000}
+INSTANCE_START = {"verb": "Spawn", "Who": 3, "RngSeed": 9, "ProfileData": SETTINGS}
+ENDPOINT_PAGE = {
     "verb": "Page",
     "Buffer": 0,
     "Lines": [
@@ -66,8 +66,8 @@
         }
     ],
 }
-FLEET = {"verb": "Fleet", "Who": 3, "Kind": "remembered", "Index": 1, "Buffer": 0}
-TAKE = {
+ENDPOINT_UPDATE = {"verb": "Fleet", "Who": 3, "Kind": "remembered", "Index": 1, "Buffer": 0}
+NEW_REQUEST = {
     "verb": "NewRequest",
     "Who": 3,
     "Id": "ab",
@@ -78,7 +78,7 @@
     "Bitmap": 0,
     "Team": None,
 }
-RESULT = {
+ATTEMPT_RESULT = {
     "verb": "Result",
     "Who": 3,
     "Id": "ab",
@@ -89,18 +89,31 @@
     "Final": True,
     "HealthInfo": {"unknown": 1},
 }
-GO = {"verb": "Go"}
-
-
-def run(*events: dict) -> list[dict]:
-    sink = io.BytesIO()
-    serve(io.BytesIO("".join(json.dumps(event) + "\n" for event in events).encode()), sink)
-    return [json.loads(line) for line in sink.getvalue().splitlines()]
-
-
-def test_round_trip() -> None:
-    reply = run(SYNC, SPAWN, PAGE, FLEET, TAKE, GO, SYNC, RESULT, GO, SYNC, {"verb": "Exit", "Who": 3}, GO)
-    assert [action["verb"] for action in reply] == [
+BATCH_END = {"verb": "Go"}
+
+
+def run_adapter(*events: dict) -> list[dict]:
+    output = io.BytesIO()
+    serve(io.BytesIO("".join(json.dumps(event) + "\n" for event in events).encode()), output)
+    return [json.loads(line) for line in output.getvalue().splitlines()]
+
+
+def test_new_request_is_forwarded_and_every_batch_gets_a_response() -> None:
+    actions = run_adapter(
+        CLOCK_SET,
+        INSTANCE_START,
+        ENDPOINT_PAGE,
+        ENDPOINT_UPDATE,
+        NEW_REQUEST,
+        BATCH_END,
+        CLOCK_SET,
+        ATTEMPT_RESULT,
+        BATCH_END,
+        CLOCK_SET,
+        {"verb": "Exit", "Who": 3},
+        BATCH_END,
+    )
+    assert [action["verb"] for action in actions] == [
         "KeepInformed",
         "SetTimer",
         "Relay",
@@ -108,50 +121,87 @@
         "Yield",
         "Yield",
     ]
-    assert (reply[2]["Who"], reply[2]["Id"], reply[2]["Box"]) == (3, "ab", "10.0.0.1:9000")
-    assert 0 < reply[2]["PatienceUs"] <= 3000000
+    assert (actions[2]["Who"], actions[2]["Id"], actions[2]["Box"]) == (3, "ab", "10.0.0.1:9000")
+    assert 0 < actions[2]["PatienceUs"] <= 3000000
 
 
 def test_instance_that_ends_and_starts_in_one_batch_watches_endpoints_again() -> None:
-    reply = run(SYNC, SPAWN, PAGE, FLEET, TAKE, GO, SYNC, {"verb": "Exit", "Who": 3}, SPAWN, FLEET, GO)
-    assert sum(action["verb"] == "KeepInformed" for action in reply) == 2
+    actions = run_adapter(
+        CLOCK_SET,
+        INSTANCE_START,
+        ENDPOINT_PAGE,
+        ENDPOINT_UPDATE,
+        NEW_REQUEST,
+        BATCH_END,
+        CLOCK_SET,
+        {"verb": "Exit", "Who": 3},
+        INSTANCE_START,
+        ENDPOINT_UPDATE,
+        BATCH_END,
+    )
+    assert sum(action["verb"] == "KeepInformed" for action in actions) == 2
 
 
 @pytest.mark.parametrize(
-    ("events", "words"),
+    ("events", "expected_parts"),
     [
         ([{"verb": "Nonsense"}], ["Nonsense"]),
         ([{"verb": "Sync"}], ["Sync", "TsUs"]),
-        ([SYNC, {**SPAWN, "ProfileData": {}}], ["Spawn", "ProfileData"]),
+        ([CLOCK_SET, {**INSTANCE_START, "ProfileData": {}}], ["Spawn", "ProfileData"]),
         (
-            [SYNC, {**SPAWN, "ProfileData": {**PROFILE, "Me": "x"}}],
+            [CLOCK_SET, {**INSTANCE_START, "ProfileData": {**SETTINGS, "Me": "x"}}],
             ["Spawn", "ProfileData: Me: not a number"],
         ),
-        ([SYNC, SPAWN, {**TAKE, "Grade": "no"}], ["NewRequest", "Grade"]),
-        ([SYNC, SPAWN, PAGE, FLEET, TAKE, {**RESULT, "Disposition": 999}], ["Result", "Disposition"]),
-        ([SYNC, SPAWN, {**FLEET, "Buffer": 5}], ["Fleet", "Buffer"]),
-        ([SYNC, TAKE], ["NewRequest", "Who"]),
-        ([SYNC, SPAWN, {"verb": "Tally", "Who": 3, "Grade": "g", "Ver": 1, "N": "many"}], ["Tally", "N"]),
+        ([CLOCK_SET, INSTANCE_START, {**NEW_REQUEST, "Grade": "no"}], ["NewRequest", "Grade"]),
+        (
+            [
+                CLOCK_SET,
+                INSTANCE_START,
+                ENDPOINT_PAGE,
+                ENDPOINT_UPDATE,
+                NEW_REQUEST,
+                {**ATTEMPT_RESULT, "Disposition": 999},
+            ],
+            ["Result", "Disposition"],
+        ),
+        ([CLOCK_SET, INSTANCE_START, {**ENDPOINT_UPDATE, "Buffer": 5}], ["Fleet", "Buffer"]),
+        ([CLOCK_SET, NEW_REQUEST], ["NewRequest", "Who"]),
+        (
+            [CLOCK_SET, INSTANCE_START, {"verb": "Tally", "Who": 3, "Grade": "g", "Ver": 1, "N": "many"}],
+            ["Tally", "N"],
+        ),
         ([[1]], ["verb"]),
-        ([SYNC, {"verb": "Page", "Buffer": 0, "Lines": [7]}], ["Page"]),
+        ([CLOCK_SET, {"verb": "Page", "Buffer": 0, "Lines": [7]}], ["Page"]),
         ([{"verb": "Sync", "TsUs": True}], ["Sync", "TsUs"]),
-        ([SYNC, SPAWN, PAGE, FLEET, TAKE, {**RESULT, "Final": 1}], ["Result", "Final"]),
+        (
+            [
+                CLOCK_SET,
+                INSTANCE_START,
+                ENDPOINT_PAGE,
+                ENDPOINT_UPDATE,
+                NEW_REQUEST,
+                {**ATTEMPT_RESULT, "Final": 1},
+            ],
+            ["Result", "Final"],
+        ),
     ],
 )
-def test_malformed_line_names_verb_and_field(events: list, words: list[str]) -> None:
+def test_error_of_a_malformed_line_names_verb_and_field(events: list, expected_parts: list[str]) -> None:
     with pytest.raises(MalformedLineError) as caught:
-        run(*events, GO)
-    assert all(word in str(caught.value) for word in words)
+        run_adapter(*events, BATCH_END)
+    assert all(word in str(caught.value) for word in expected_parts)
 
 
 @pytest.mark.parametrize("text", ["", "hi 7", "42 1 9", "-1 0 3", "42 1 3 3", "\u0664\u0662 1 3", "9" * 200])
-def test_peer_text_that_is_no_vote_is_dropped(text: str) -> None:
-    assert run(SYNC, SPAWN, {"verb": "NoteFrom", "Who": 3, "Neighbour": 1, "Msg": text}, GO)
+def test_peer_text_that_is_no_vote_is_ignored(text: str) -> None:
+    assert run_adapter(
+        CLOCK_SET, INSTANCE_START, {"verb": "NoteFrom", "Who": 3, "Neighbour": 1, "Msg": text}, BATCH_END
+    )
 
 
-def test_peer_vote_and_tally_are_read() -> None:
-    told = {"verb": "NoteFrom", "Who": 3, "Neighbour": 1, "Msg": "42 1 3"}
-    tally = {
+def test_peer_vote_and_metrics_are_accepted() -> None:
+    peer_vote = {"verb": "NoteFrom", "Who": 3, "Neighbour": 1, "Msg": "42 1 3"}
+    metrics = {
         "verb": "Tally",
         "Who": 3,
         "Grade": "g",
@@ -161,9 +211,9 @@
         "CostTimeUs": 0,
         "AgeUs": 9,
     }
-    assert run(SYNC, SPAWN, told, tally, GO)[-1] == {"verb": "Yield"}
+    assert run_adapter(CLOCK_SET, INSTANCE_START, peer_vote, metrics, BATCH_END)[-1] == {"verb": "Yield"}
 
 
-def test_line_nested_without_end_is_one_clear_error() -> None:
+def test_deeply_nested_line_raises_malformed_line_error() -> None:
     with pytest.raises(MalformedLineError, match="nested too deep"):
         serve(io.BytesIO(b"[" * 200_000 + b"\n"), io.BytesIO())
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -33,7 +33,7 @@
     return wire.decode_event(json.dumps(fields).encode())
 
 
-def test_request_is_decoded_and_fields_of_no_interest_are_skipped() -> None:
+def test_request_is_decoded_and_unused_fields_are_skipped() -> None:
     event = decode(verb="NewRequest", Who=3, Id="ab", Grade="g", NotAfterUs=8, Item=None, Bitmap=0)
     assert event == wire.NewRequest(instance=3, request_id="ab", route="g", deadline_us=8, key=None)
 
@@ -46,7 +46,7 @@
     )
 
 
-def test_release_state_without_a_good_outcome_is_a_failed_vote() -> None:
+def test_release_state_without_a_completed_outcome_is_a_failed_vote() -> None:
     assert decode(verb="RolloutState", Who=3, Disposition=303) == wire.VoteFailed(3)
     update = decode(verb="RolloutState", Who=3, Disposition=100, Ver=41, Step=1, WhereAt=2, Allowed=0.5)
     assert update == wire.ReleaseUpdate(3, 41, 1, 2, 0.5)
@@ -67,23 +67,21 @@
         (b'{"verb":"RolloutState","Who":3,"Disposition":999}', UnknownValueError),
     ],
 )
-def test_malformed_line_raises_the_error_that_says_what_is_wrong(
-    line: bytes, error: type[MalformedLineError]
-) -> None:
+def test_malformed_line_raises_the_error_of_its_fault(line: bytes, error: type[MalformedLineError]) -> None:
     with pytest.raises(error) as caught:
         wire.decode_event(line)
     assert isinstance(caught.value, GullmountError)
     assert "\n" not in str(caught.value) and len(str(caught.value)) <= 200
 
 
-def test_unknown_endpoint_state_names_verb_and_field() -> None:
+def test_error_of_an_unknown_endpoint_state_names_verb_and_field() -> None:
     page = decode(verb="Page", Buffer=7, Lines=[{**ENTRY, "Availability": "Asleep"}])
     assert isinstance(page, wire.EndpointPage)
     with pytest.raises(UnknownValueError, match="Page: field Availability has no such value: 'Asleep'"):
         page.entries[0].endpoint()
 
 
-def test_actions_are_encoded_in_the_order_and_words_of_the_wire() -> None:
+def test_actions_are_encoded_in_order_with_their_names_on_the_wire() -> None:
     actions = [
         wire.Forward(3, "ä", "10.0.0.1:9000", 5),
         wire.Reject(3, "ab", 6),
