--- a/gullmount/decisions/metric_totals.py
+++ b/gullmount/decisions/metric_totals.py
@@ -55,11 +55,11 @@
 
     def add(self, report: MetricsReport, baseline: MetricsReport) -> None:
         """Add a report on the candidate, with the newest report on the baseline for the same route."""
-        answered = report.attempts - report.lost
+        responses = report.attempts - report.lost
         self.attempts += report.attempts
         self.baseline_attempts += baseline.attempts
-        self.time += answered * report.mean_time
-        self.baseline_time += answered * baseline.mean_time
+        self.time += responses * report.mean_time
+        self.baseline_time += responses * baseline.mean_time
         self.lost += report.lost
         self.baseline_lost += report.attempts * baseline.lost / baseline.attempts
 
