--- a/gullmount/decisions/canary_analysis.py
+++ b/gullmount/decisions/canary_analysis.py
@@ -63,8 +63,7 @@
 # Weight of a slowdown of all servers after a release, in place of the traffic share.
 POST_RELEASE_WEIGHT = 0.4
 
-# A slowdown of all servers still counts for this long after a release, as the build gets all traffic only
-# then.
+# Time after a release in which a slowdown of all servers still counts. The build gets all traffic only then.
 POST_RELEASE_SECONDS = 5.0
 
 # Time from the newest server's start until a vote to promote.
--- a/gullmount/decisions/voting.py
+++ b/gullmount/decisions/voting.py
@@ -1,9 +1,9 @@
 """Voting: how much evidence a vote needs, which instance casts it, and when it is renewed.
 
 Each instance votes at the release controller to promote a candidate or to roll it back. Where the controller
-acts on a single vote, one of many instances would decide by chance. The instances then gossip their votes to
-a few of them, which cast a vote once enough peers agree. A vote whose evidence is conclusive by itself goes
-directly to the release controller.
+acts on a single vote, the instance with the most extreme samples would decide by chance. The instances then
+gossip their votes to a few of them, which cast a vote once enough peers agree. A vote whose evidence is
+conclusive by itself goes directly to the release controller.
 """
 
 from __future__ import annotations
@@ -75,7 +75,8 @@
     Attributes:
         pools_peer_votes: Whether instances gossip their votes and cast what enough peers agree on.
         votes_to_roll_back: Number of votes that roll a candidate back.
-        needs_many_votes: Whether each instance sees so little that it merges all routes.
+        needs_many_votes: Whether so many votes must agree that each instance may see little of the evidence.
+            It then merges all routes.
         standard_errors: By how many standard errors a candidate must be slower.
         shared_slowdown: The shared slowdown from which on the candidate counts as slowing all servers.
         min_latencies: Attempts that a median needs.
@@ -97,7 +98,7 @@
         # most (e * n * p / k) ** k. Few votes count as one, as they may have a common cause.
         allowed_alarms = FALSE_ALARM_PROBABILITY ** (1 / independent_votes) * self.votes_to_roll_back
         alarm_probability = allowed_alarms / (e * instances * INDEPENDENT_EVALUATIONS)
-        # The quantile of 1 - alarm_probability, taken by symmetry: the difference may be rounded to 1.
+        # By symmetry this is the quantile of 1 - alarm_probability, a number that may be rounded to 1.
         self.standard_errors = -NormalDist().inv_cdf(alarm_probability)
         self.shared_slowdown = MIN_SHARED_SLOWDOWN * max(1.0, log(instances / self.votes_to_roll_back))
         self.min_latencies = max(MIN_LATENCIES_PER_VOTE, ceil(MIN_LATENCIES / independent_votes))
--- a/tests/decisions/test_canary_analysis.py
+++ b/tests/decisions/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""Canary analysis: which candidates are to be rolled back or promoted."""
+"""Canary analysis: which candidates it votes to roll back or to promote."""
 
 from __future__ import annotations
 
@@ -33,14 +33,16 @@
 def test_candidate_on_few_servers_is_rolled_back_only_if_its_servers_are_slower(
     slowness: float, rolled_back: bool
 ) -> None:
-    """The quickest baseline servers take most requests, the candidate's few all take their part.
+    """The servers of both builds are compared with the same weight each.
 
-    Each server counts alike beside that, so that a good build does not read as slow.
+    The fastest servers of the baseline get most of its requests, while the candidate has only a few servers
+    that all get their part. By the times of the attempts alone, a good build would appear slow.
     """
     harness = candidate_harness(instance_count=3)
     draw = random.Random(5).lognormvariate
     for server in range(10):
-        median_time = 0.1 * 1.12**server  # from the quickest to 2.8 times that; the quickest get most
+        # The slowest server takes 2.8 times as long as the fastest. The fastest servers get most requests.
+        median_time = 0.1 * 1.12**server
         for build, count in ((1, max(4, 60 - 8 * server)), (2, 12 if server in {5, 6, 7} else 0)):
             for number in range(count):
                 time = median_time * draw(0.0, 0.3) * (slowness if build > 1 else 1.0)
@@ -131,7 +133,10 @@
 def test_slowdown_rolls_back_the_candidate_unless_the_load_has_grown(
     requests_per_step: int, unserved: int, rolled_back: bool
 ) -> None:
-    """A good build is not rolled back in a burst; clients that send their requests again are no new load."""
+    """A good build is not rolled back because of a burst of requests.
+
+    Requests that clients send again, as they were not served, don't count as additional load.
+    """
     harness = released_harness()
     harness.list_servers(BASELINE | CANDIDATE)
 
--- a/tests/decisions/test_concurrent_candidates.py
+++ b/tests/decisions/test_concurrent_candidates.py
@@ -1,4 +1,4 @@
-"""Two builds on trial in the module: the hash's two ends, each cap by itself, and what each ending does."""
+"""Two candidates in release at once: their hash ranges, exposure limits, and the end of each release."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def build_by_key(harness: RouterHarness, keys: int = 400) -> dict[str, int]:
-    """The build that each key's req was sent to."""
+    """Send one request per key, and return the build that each key's request was sent to."""
     served_by: dict[str, int] = {}
     for number in range(keys):
         request = harness.accept("look", key=f"k{number}")
@@ -35,7 +35,10 @@
 
 
 def share_kept(before: dict[str, int], after: dict[str, int], build: int) -> float:
-    """The part of a build's keys that it has still; at its cap some go to what serves."""
+    """Return the share of the build's earlier keys that it still serves.
+
+    A build that reaches its exposure limit loses some of its keys to the baseline.
+    """
     keys = [key for key, served_by in before.items() if served_by == build]
     return sum(after[key] == build for key in keys) / len(keys)
 
@@ -137,7 +140,8 @@
     harness.list_servers(SERVERS)
     harness.set_release(build=1, phase=ReleasePhase.RELEASED, cap=1.0)
     harness.set_release(build=3, cap=0.2)
-    harness.set_release(build=2, cap=0.2)  # heard after the newer's
+    # The status of the older build arrives after that of the newer one.
+    harness.set_release(build=2, cap=0.2)
     harness.advance_clock(10.0)
     assert [candidate.build for candidate in harness.router.releases.candidates] == [2, 3]
     assert Counter(build_by_key(harness).values())[2] <= 0.2 * 400 + 2
@@ -153,9 +157,8 @@
 
 def test_key_goes_to_the_baseline_while_all_servers_of_its_candidate_are_ejected() -> None:
     harness = RouterHarness(concurrent_candidates=2)
-    harness.list_servers(
-        {f"b{n}": 1 for n in range(4)} | {"b8": 2, "b9": 2, "a0": 3, "a1": 3}
-    )  # a is nearest
+    # Zone a is the nearest one.
+    harness.list_servers({f"b{n}": 1 for n in range(4)} | {"b8": 2, "b9": 2, "a0": 3, "a1": 3})
     harness.set_release(build=1, phase=ReleasePhase.RELEASED, cap=1.0)
     harness.set_release(build=2, cap=0.5)
     harness.set_release(build=3, cap=0.5)
--- a/tests/decisions/test_voting.py
+++ b/tests/decisions/test_voting.py
@@ -1,4 +1,4 @@
-"""Voting: how much evidence a vote needs, renewal, peers."""
+"""Voting: how much evidence a vote needs, its renewal, and the votes of peers."""
 
 from __future__ import annotations
 
@@ -64,5 +64,5 @@
 
 
 def test_router_can_be_built_with_more_votes_to_roll_back_than_instances() -> None:
-    """The settings are accepted as valid, so that the router has to be built."""
+    """Such settings are accepted as valid, so that building the router must not fail."""
     assert not RouterHarness(instance_count=1, votes_to_roll_back=15).votes
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on the wire: round trips and malformed lines."""
+"""The adapter from lines to lines: batches of events, and malformed lines."""
 
 import io
 import json
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -1,4 +1,4 @@
-"""Events decoded and actions encoded, without a router."""
+"""Decoding of events and encoding of actions, without a router."""
 
 from __future__ import annotations
 
