--- a/gullmount/decisions/statistics.py
+++ b/gullmount/decisions/statistics.py
@@ -1,6 +1,6 @@
-"""The statistics that canary analysis compares builds by: medians, rank tests, sums by server.
+"""Statistics for comparing builds: medians, rank tests and sums per server.
 
-Times are in latency objectives. Nothing here decides anything.
+Times are latencies divided by the route's latency objective. This module decides nothing.
 """
 
 from __future__ import annotations
@@ -12,32 +12,43 @@
 from statistics import fmean, median
 from typing import NamedTuple
 
-ALL_ROUTES = ""  # stands for the route where routes are taken together
+# Takes the place of a route name where all routes are merged.
+ALL_ROUTES = ""
 
 
 class RouteSlice(NamedTuple):
-    """A route during one slice of time."""
+    """A route during one slice of time.
+
+    Attributes:
+        route: The route's name, or `ALL_ROUTES`.
+        slice: The slice's number.
+    """
 
     route: str
     slice: int
 
 
-Times = dict[RouteSlice, list[float]]
+TimesBySlice = dict[RouteSlice, list[float]]
 
 
 class AttemptSample(NamedTuple):
-    """What canary analysis keeps of an attempt that ended."""
+    """What canary analysis stores of an attempt that has ended.
+
+    Attributes:
+        at: When the attempt ended, in seconds on the runtime's clock.
+        time: The latency in latency objectives; below 0 where the attempt has no usable latency.
+        failed: Whether the attempt failed.
+        server_id: The server that the attempt was sent to.
+    """
 
     at: float
-    """Seconds on the runtime's clock."""
     time: float
-    """Latency objectives; below 0 where the attempt says nothing of them."""
     failed: bool
     server_id: str
 
 
 class BuildRoute(NamedTuple):
-    """The attempts of one route at one build."""
+    """Key of the attempts of one route at one build."""
 
     build: int
     route: str
@@ -48,84 +59,100 @@
 
 
 class ServerCounts(NamedTuple):
-    """Attempts at one server."""
+    """Attempts at one server: those that failed, and all of them."""
 
     failed: int
     total: int
 
 
 class RankTest(NamedTuple):
-    """The Mann-Whitney test of one group of times against another, summed over parts."""
+    """Result of a Mann-Whitney test of one group of times against another, summed over route slices.
+
+    Attributes:
+        ratios: Each time of the group, divided by the other group's median in the same route slice.
+        surplus: Number of pairs in which the group is slower, less the number expected by chance.
+        variance: Variance of the surplus if the two groups don't differ.
+    """
 
     ratios: list[float]
-    """Each time over the median of the other group in the same part."""
     surplus: float
-    """Pairs in which the group is slower, beyond those that chance gives."""
     variance: float
-    """Of the surplus, if the groups don't differ."""
 
 
 class ServerDifference(NamedTuple):
-    """How much slower one group's servers are than another's."""
+    """How much slower the servers of one group are than those of another.
+
+    Attributes:
+        mean: Natural logarithm of the ratio of the times; each server has the same weight.
+        standard_error: Standard error of the mean, from the spread within each group; 0 if it is not known.
+    """
 
     mean: float
-    """Natural logarithm of the ratio, each server counting alike."""
     standard_error: float
-    """By how far servers of one group lie apart; 0 where that is not known."""
 
 
-NO_DIFFERENCE_KNOWN = ServerDifference(1.0, 0.0)
+# Its mean exceeds any multiple of its standard error, so that it passes as a significant difference.
+UNKNOWN_DIFFERENCE = ServerDifference(1.0, 0.0)
+
 
+def rank_surplus(compared_group: Sequence[float], baseline_group: Sequence[float]) -> tuple[float, float]:
+    """Return the Mann-Whitney statistic of two groups, less its mean by chance, and its variance.
+
+    The statistic is the number of pairs in which the compared group's value is the higher one.
+    """
+    sorted_baseline = sorted(baseline_group)
+    wins = sum(
+        (bisect_left(sorted_baseline, time) + bisect_right(sorted_baseline, time)) / 2
+        for time in compared_group
+    )
+    pairs = len(compared_group) * len(baseline_group)
+    return wins - pairs / 2, pairs * (len(compared_group) + len(baseline_group) + 1) / 12
 
-def rank_surplus(high: Sequence[float], low: Sequence[float]) -> tuple[float, float]:
-    """Return by how many pairs `high` ranks above `low` beyond chance, and that count's variance."""
-    ordered = sorted(low)
-    wins = sum((bisect_left(ordered, time) + bisect_right(ordered, time)) / 2 for time in high)
-    pairs = len(high) * len(low)
-    return wins - pairs / 2, pairs * (len(high) + len(low) + 1) / 12
 
+def rank_test(times: TimesBySlice, baseline: TimesBySlice, min_times: int) -> RankTest:
+    """Compare two groups of times, route slice by route slice.
 
-def rank_test(times: Times, baseline: Times, least: int) -> RankTest:
-    """Compare the times part by part; a part counts with `least` baseline times or more."""
+    Route slices with fewer than `min_times` baseline times are left out.
+    """
     ratios: list[float] = []
     surplus = variance = 0.0
-    for part, part_times in times.items():
-        baseline_times = baseline.get(part, ())
-        if len(baseline_times) < least:
+    for route_slice, compared_times in times.items():
+        baseline_times = baseline.get(route_slice, ())
+        if len(baseline_times) < min_times:
             continue
-        middle = median(baseline_times)
-        ratios += [time / middle for time in part_times]
-        part_surplus, part_variance = rank_surplus(part_times, baseline_times)
-        surplus += part_surplus
-        variance += part_variance
+        baseline_median = median(baseline_times)
+        ratios += [time / baseline_median for time in compared_times]
+        slice_surplus, slice_variance = rank_surplus(compared_times, baseline_times)
+        surplus += slice_surplus
+        variance += slice_variance
     return RankTest(ratios, surplus, variance)
 
 
-def merge_routes(times: Times) -> Times:
-    """Take the routes of each slice together."""
-    merged: Times = defaultdict(list)
-    for (_, number), route_times in times.items():
-        merged[RouteSlice(ALL_ROUTES, number)] += route_times
+def merge_routes(times: TimesBySlice) -> TimesBySlice:
+    """Merge the times of all routes within each slice."""
+    merged: TimesBySlice = defaultdict(list)
+    for (_, slice_number), route_times in times.items():
+        merged[RouteSlice(ALL_ROUTES, slice_number)] += route_times
     return merged
 
 
-def slice_times(samples: Mapping[str, Iterable[AttemptSample]], span: float) -> Times:
-    """Return the times by route and slice of `span` seconds, so that only the same seconds are compared."""
-    times: Times = {}
+def times_by_slice(samples: Mapping[str, Iterable[AttemptSample]], slice_seconds: float) -> TimesBySlice:
+    """Group the samples' times by route and slice, so that only times of the same seconds are compared."""
+    times: TimesBySlice = {}
     for route, route_samples in samples.items():
         by_slice: dict[int, list[float]] = defaultdict(list)
         for sample in route_samples:
             if sample.time >= 0:
-                by_slice[int(sample.at / span)].append(sample.time)
-        for number, slice_of_times in by_slice.items():
-            times[RouteSlice(route, number)] = slice_of_times
+                by_slice[int(sample.at / slice_seconds)].append(sample.time)
+        for slice_number, times_of_slice in by_slice.items():
+            times[RouteSlice(route, slice_number)] = times_of_slice
     return times
 
 
 def samples_of_builds(
     samples: Samples, builds: Collection[int], route: str, since: float
 ) -> list[AttemptSample]:
-    """Return the samples of the route at these builds since then."""
+    """Return the route's samples at the given builds from the time `since` on."""
     return [
         sample
         for (build, build_route), build_samples in samples.items()
@@ -135,9 +162,9 @@
     ]
 
 
-def times_since(samples: Samples, since: float) -> Times:
-    """Return the times of each route since then, whatever the build, as one slice."""
-    times: Times = defaultdict(list)
+def times_since(samples: Samples, since: float) -> TimesBySlice:
+    """Return each route's times from the time `since` on, at all builds, as a single slice."""
+    times: TimesBySlice = defaultdict(list)
     for (_, route), route_samples in samples.items():
         recent = [sample.time for sample in route_samples if sample.at >= since and sample.time >= 0]
         times[RouteSlice(route, 0)] += recent
@@ -145,7 +172,7 @@
 
 
 def count_by_server(samples: Iterable[AttemptSample]) -> list[ServerCounts]:
-    """Return the counts of each server, those that fail most first."""
+    """Count the attempts at each server; servers with the most failures come first."""
     failures: dict[str, int] = defaultdict(int)
     totals: dict[str, int] = defaultdict(int)
     for sample in samples:
@@ -155,17 +182,22 @@
     return sorted(counts, key=lambda count: -count.failed)
 
 
-def without_slowest(
-    samples: SamplesByRoute, count_to_leave_out: Callable[[int], int]
+def exclude_slowest_servers(
+    samples: SamplesByRoute, excluded_count: Callable[[int], int]
 ) -> dict[str, list[AttemptSample]]:
-    """Leave out the servers with the longest mean times, as many as the callable says for their number."""
+    """Return the samples without those of the servers with the longest mean times.
+
+    Args:
+        samples: The samples by route.
+        excluded_count: Returns how many servers to leave out, given the number of servers.
+    """
     times: dict[str, list[float]] = defaultdict(list)
     for route_samples in samples.values():
         for sample in route_samples:
             if sample.time >= 0:
                 times[sample.server_id].append(sample.time)
     slowest_first = sorted(times, key=lambda server_id: -fmean(times[server_id]))
-    slowest = slowest_first[: count_to_leave_out(len(times))]
+    slowest = slowest_first[: excluded_count(len(times))]
     return {
         route: [sample for sample in route_samples if sample.server_id not in slowest]
         for route, route_samples in samples.items()
@@ -175,35 +207,37 @@
 def difference_between_servers(
     samples: Mapping[str, Iterable[AttemptSample]],
     baseline: Mapping[str, Iterable[AttemptSample]],
-    least: int,
+    min_times: int,
 ) -> ServerDifference:
     """Return how much slower the servers of `samples` are than those of the baseline.
 
-    Servers with fewer than `least` times are left out. Without one of the samples' and two of the baseline's,
-    how far servers lie apart is not known.
+    Servers with fewer than `min_times` times are left out. `UNKNOWN_DIFFERENCE` is returned unless one server
+    of the samples and two of the baseline remain.
     """
-    middle: dict[str, float] = {}
+    route_medians: dict[str, float] = {}
     for route, route_samples in baseline.items():
         times = [sample.time for sample in route_samples if sample.time > 0]
         if times:
-            middle[route] = median(times)
-    own = _mean_logarithms(samples, middle, least)
-    others = _mean_logarithms(baseline, middle, least)
-    if not own or len(others) <= 1:
-        return NO_DIFFERENCE_KNOWN
-    squares = sum((mean - fmean(group)) ** 2 for group in (own, others) for mean in group)
-    deviation = sqrt(squares / (len(own) + len(others) - 2))
-    error = deviation * sqrt(1 / len(own) + 1 / len(others))
-    return ServerDifference(fmean(own) - fmean(others), error)
+            route_medians[route] = median(times)
+    server_means = _mean_logarithms(samples, route_medians, min_times)
+    baseline_means = _mean_logarithms(baseline, route_medians, min_times)
+    if not server_means or len(baseline_means) <= 1:
+        return UNKNOWN_DIFFERENCE
+    squared_deviations = sum(
+        (mean - fmean(group)) ** 2 for group in (server_means, baseline_means) for mean in group
+    )
+    deviation = sqrt(squared_deviations / (len(server_means) + len(baseline_means) - 2))
+    combined_error = deviation * sqrt(1 / len(server_means) + 1 / len(baseline_means))
+    return ServerDifference(fmean(server_means) - fmean(baseline_means), combined_error)
 
 
 def _mean_logarithms(
-    samples: Mapping[str, Iterable[AttemptSample]], middle: Mapping[str, float], least: int
+    samples: Mapping[str, Iterable[AttemptSample]], route_medians: Mapping[str, float], min_times: int
 ) -> list[float]:
-    """Return for each server the mean logarithm of its times over the route's middle."""
+    """Return each server's mean logarithm of its times, each divided by its route's median."""
     logarithms: dict[str, list[float]] = defaultdict(list)
-    for route, route_middle in middle.items():
+    for route, route_median in route_medians.items():
         for sample in samples[route]:
             if sample.time > 0:
-                logarithms[sample.server_id].append(log(sample.time / route_middle))
-    return [fmean(values) for values in logarithms.values() if len(values) >= least]
+                logarithms[sample.server_id].append(log(sample.time / route_median))
+    return [fmean(values) for values in logarithms.values() if len(values) >= min_times]
