--- a/gullmount/proxy/buffered_downstream.py
+++ b/gullmount/proxy/buffered_downstream.py
@@ -230,7 +230,7 @@
         self.head, self.metadata, self.body_parts, self.body_size = None, None, [], 0
         if self.rejects_requests:
             raise ProtocolError(SERVICE_UNAVAILABLE, "too many connections")
-        if self.runtime.stalls.recent and self.transport.peer_has_ended:
+        if self.runtime.stalls.stalled_recently and self.transport.peer_has_ended:
             self.abort()  # the client left while this process did not run
             return
         if metadata is None:
--- a/gullmount/proxy/event_loop_stalls.py
+++ b/gullmount/proxy/event_loop_stalls.py
@@ -84,7 +84,7 @@
         return now
 
     @property
-    def recent(self) -> bool:
+    def stalled_recently(self) -> bool:
         """Whether what is being read may have arrived during a stall."""
         return self.observe() < self.recent_until
 
@@ -125,7 +125,7 @@
             with anyio.fail_after(seconds):
                 return await receive()
         except TimeoutError:
-            if not self.recent:
+            if not self.stalled_recently:
                 raise
         with anyio.fail_after(LATE_RECEIVE_SECONDS):
             return await receive()
--- a/gullmount/proxy/streaming_downstream.py
+++ b/gullmount/proxy/streaming_downstream.py
@@ -195,7 +195,7 @@
             return None
         metadata = self.runtime.adapter.request_metadata(head)
         body = await self.buffer_body()
-        if self.runtime.stalls.recent:
+        if self.runtime.stalls.stalled_recently:
             await self.runtime.stalls.wait_until_resumed()
             if self.incoming.ended or stream_peer_has_ended(self.stream):
                 raise ClientGoneError  # it left while this process did not run
--- a/tests/commands/test_command_line.py
+++ b/tests/commands/test_command_line.py
@@ -18,7 +18,7 @@
 
 from tests.support.fault_block import own_block
 from tests.support.paths import DAYS
-from tests.support.proxy_edge import terms
+from tests.support.proxy_edge import make_proxy_config
 
 HOST = f"{own_block()}.1.1"
 SAVED_WITHIN = 10.0  # s, of the 30 after which the watchdog ends a proxy
@@ -103,7 +103,7 @@
 @pytest.fixture
 def file(tmp_path: Path) -> Path:
     path = tmp_path / "umpire.yaml"
-    told = terms(
+    told = make_proxy_config(
         listen=f"{HOST}:8000",
         remembered=str(tmp_path / "boxes.json"),
         roster={"address": f"{HOST}:7001"},
--- a/tests/distribution/test_config.py
+++ b/tests/distribution/test_config.py
@@ -10,7 +10,7 @@
 
 from gullmount.distribution.config import OriginConfig, RelayConfig, SubscribedProxyConfig
 from gullmount.yamlfile import InvalidFileError, parse
-from tests.support.proxy_edge import terms as proxy_terms
+from tests.support.proxy_edge import make_proxy_config as proxy_terms
 
 ORIGIN_FILE = """\
 listen: 127.0.0.1:7400
--- a/tests/distribution/test_processes.py
+++ b/tests/distribution/test_processes.py
@@ -34,7 +34,7 @@
     run,
     run_scene,
 )
-from tests.support.proxy_edge import terms as proxy_terms
+from tests.support.proxy_edge import make_proxy_config as proxy_terms
 
 
 class Held(WrappedStream):
--- a/tests/distribution/test_subscribed_proxy.py
+++ b/tests/distribution/test_subscribed_proxy.py
@@ -14,7 +14,7 @@
 from gullmount.leases.leasing_proxy import LeasingProxy
 from gullmount.rpc import call
 from tests.support.distribution_scene import ORIGIN, RELAYS, Scene, run_scene
-from tests.support.proxy_edge import terms as proxy_terms
+from tests.support.proxy_edge import make_proxy_config as proxy_terms
 from tests.support.subscribed_proxy_scene import (
     ROUTE,
     SERVERS,
--- a/tests/leases/test_config.py
+++ b/tests/leases/test_config.py
@@ -10,7 +10,7 @@
 
 from gullmount.leases.config import LeasingProxyConfig
 from gullmount.yamlfile import InvalidFileError, parse
-from tests.support.proxy_edge import terms as umpire_terms
+from tests.support.proxy_edge import make_proxy_config as umpire_terms
 
 
 def owned_file(section: str) -> str:
--- a/tests/proxy/test_cached_state.py
+++ b/tests/proxy/test_cached_state.py
@@ -16,7 +16,7 @@
 from gullmount.proxy.release_controller_client import ReleaseStatus
 from gullmount.rpc import InvalidMessageError
 from tests.support.paths import ROOT
-from tests.support.proxy_edge import terms
+from tests.support.proxy_edge import make_proxy_config
 
 SAVED_BY_883DEA8 = ROOT / "tests" / "data" / "remembered-883dea8.json"
 SAVED_AT = 1_700_000_000.0  # seconds of the wall clock when the file was written
@@ -41,7 +41,7 @@
 
     async def scene() -> ProxyInstance:
         instance = ProxyInstance(
-            terms(),
+            make_proxy_config(),
             net=MemoryNet(),
             state_store=SavedText(text),
             wall=lambda: SAVED_AT + 10,
--- a/tests/proxy/test_event_loop_stalls.py
+++ b/tests/proxy/test_event_loop_stalls.py
@@ -65,7 +65,7 @@
 
         assert scene.stalls.arrival_time(age) == pytest.approx(scene.now(), abs=0.01)
         scene.stalls.call_when_resumed(lambda: called.append("at once"))
-        assert called == ["at once"] and not scene.stalls.recent and not scene.logged
+        assert called == ["at once"] and not scene.stalls.stalled_recently and not scene.logged
 
     play(script)
 
@@ -101,7 +101,7 @@
         await scene.stalls.wait_until_resumed()
         await anyio.sleep(0)
         assert order == ["read", "first", "second"]
-        assert scene.stalls.recent
+        assert scene.stalls.stalled_recently
 
     play(script)
 
--- a/tests/proxy/test_peer_gossip.py
+++ b/tests/proxy/test_peer_gossip.py
@@ -15,7 +15,7 @@
 from gullmount.proxy.peer_gossip import MAX_PEER_MESSAGE_BYTES, PeerGossip
 from gullmount.proxy.release_controller_client import ReleaseControllerClient
 from gullmount.proxy.runtime import StreamingRuntime
-from tests.support.proxy_edge import terms
+from tests.support.proxy_edge import make_proxy_config
 
 PEERS = {0: "p0:1", 1: "p1:1", 2: "p2:1"}
 ROW: list[Any] = [0, "b1", 2, "a", "pay", 4, 1, 3, -6.0, 13.0]
@@ -45,7 +45,7 @@
 ) -> tuple[StreamingRuntime, Wire, list[str]]:
     log: list[str] = []
     wire = Wire(list(heard))
-    told = terms(number=0, of=3)
+    told = make_proxy_config(number=0, of=3)
     told = told.model_copy(update={"releases": told.releases.model_copy(update={"at_once": 2})})
 
     async def scene() -> StreamingRuntime:
@@ -182,7 +182,7 @@
     ],
 )
 def test_vote_answered_without_news_is_cast_again(body: bytes, failed: list[int]) -> None:
-    told = terms(launcher={"address": "l:1"})
+    told = make_proxy_config(launcher={"address": "l:1"})
 
     async def answer(stream: Stream) -> None:
         await stream.receive()
--- a/tests/proxy/test_remembered_list.py
+++ b/tests/proxy/test_remembered_list.py
@@ -10,7 +10,7 @@
 from gullmount.net import STREAM_ERRORS, MemoryNet, Net, Stream
 from gullmount.proxy import FileStateStore, ProxyInstance
 from tests.support.paths import ROOT
-from tests.support.proxy_edge import OK, play, terms
+from tests.support.proxy_edge import OK_RESPONSE, make_proxy_config, run_with_net
 
 WRITTEN_BY_883DEA8 = ROOT / "tests" / "data" / "remembered_list_883dea8.json"
 SAVED_AT = 1_800_000_000.0  # s, Unix time at which the file was written
@@ -21,7 +21,7 @@
     path = tmp_path / "remembered.json"
     path.write_bytes(WRITTEN_BY_883DEA8.read_bytes())
     return ProxyInstance(
-        terms(),
+        make_proxy_config(),
         net=net,
         state_store=FileStateStore(path),
         wall=lambda: SAVED_AT + 3600.0,
@@ -56,7 +56,7 @@
             )
         assert not [event for event in log if "invalid" in event], log
 
-    play(True, scene)
+    run_with_net(True, scene)
 
 
 def test_requests_are_served_by_the_list_of_883dea8_and_none_by_its_draining_server(tmp_path: Path) -> None:
@@ -72,7 +72,7 @@
                         while True:
                             await stream.receive()
                             served.append(address)
-                            await stream.send(OK)
+                            await stream.send(OK_RESPONSE)
                     except STREAM_ERRORS:
                         pass
 
@@ -90,4 +90,4 @@
             tasks.cancel_scope.cancel()
         assert len(served) == 20 and "10.0.0.3:8200" not in served
 
-    play(True, scene)
+    run_with_net(True, scene)
--- a/tests/proxy/test_streaming_fuzz.py
+++ b/tests/proxy/test_streaming_fuzz.py
@@ -14,7 +14,7 @@
 from gullmount.scenarios.config import ScenarioConfig
 from gullmount.yamlfile import InvalidFileError, parse, read
 from tests.support.paths import ROOT
-from tests.support.proxy_edge import OK, edge, play, terms
+from tests.support.proxy_edge import OK_RESPONSE, make_proxy_config, proxy_fixture, run_with_net
 
 quiet = settings(derandomize=True, max_examples=150, deadline=None, database=None)
 
@@ -80,18 +80,18 @@
         async def box(stream: Stream) -> None:
             while True:
                 await stream.receive()
-                await stream.send(OK)
+                await stream.send(OK_RESPONSE)
 
-        async with edge(net, {"9001": box}, clients={"read_within": 0.5, "idle": 0.5}) as made:
+        async with proxy_fixture(net, {"9001": box}, clients={"read_within": 0.5, "idle": 0.5}) as made:
             with anyio.fail_after(20):
-                stream = await made.client()
+                stream = await made.connect_client()
                 await stream.send(data)
-                got = await made.rest(stream, 15)
+                got = await made.read_to_end(stream, 15)
             await anyio.sleep(2)
             assert not got or got.startswith(b"HTTP/1.1 ")
-            assert not made.umpire.runtime.exchanges and not made.umpire.connections
+            assert not made.proxy.runtime.exchanges and not made.proxy.connections
 
-    play(True, scene)
+    run_with_net(True, scene)
 
 
 @quiet
@@ -104,14 +104,16 @@
             if not closes:
                 await anyio.sleep(30)
 
-        async with edge(net, {"9001": box}) as made:
+        async with proxy_fixture(net, {"9001": box}) as made:
             with anyio.fail_after(20):
-                got = await made.ask(b"POST /pay HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\n\r\na", 5)
+                got = await made.send_and_read(
+                    b"POST /pay HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\n\r\na", 5
+                )
             assert got.count(b"gullmount-answer: ") == 1
             assert len(set(made.outcomes)) == 1
-            assert not made.umpire.runtime.exchanges
+            assert not made.proxy.runtime.exchanges
 
-    play(True, scene)
+    run_with_net(True, scene)
 
 
 @quiet
@@ -161,8 +163,8 @@
 
 def test_terms_read_back_alike_and_file_faults_are_named(tmp_path: Path) -> None:
     file = tmp_path / "u.yaml"
-    file.write_text(terms().model_dump_json())
-    assert read(file, ProxyConfig) == terms()
+    file.write_text(make_proxy_config().model_dump_json())
+    assert read(file, ProxyConfig) == make_proxy_config()
     for content, words in ((b"\xff\xfe\x00", "UTF-8"), (b"a: 1\n" * 300_000, "larger")):
         file.write_bytes(content)
         with pytest.raises(InvalidFileError, match=words):
--- a/tests/settings/test_accepted_settings_run.py
+++ b/tests/settings/test_accepted_settings_run.py
@@ -16,7 +16,7 @@
 from gullmount.settings import InvalidSettingsError, decode_instance_settings
 from tests.support.decisions import RouterHarness
 from tests.support.platform_world import SETTINGS
-from tests.support.proxy_edge import terms
+from tests.support.proxy_edge import make_proxy_config
 
 EXTREMES = (
     0, 1, 2, 3, 4, 15, 210, 7300, 10**6, 10**9, 10**15, 10**18, 10**19, 2**63, -1, 0.0, 1e-12, 1e-9,
@@ -91,7 +91,7 @@
 
 GENERIC = {
     name: value
-    for name, value in terms().model_dump(mode="json").items()
+    for name, value in make_proxy_config().model_dump(mode="json").items()
     if name in ("number", "of", "routes", "boxes", "releases", "max_retry_after")
 }
 
@@ -101,7 +101,7 @@
 def test_a_proxys_file_is_refused_with_its_place_or_runs_a_short_day(
     changes: dict[tuple[Any, ...], Any],
 ) -> None:
-    whole = terms().model_dump(mode="json")
+    whole = make_proxy_config().model_dump(mode="json")
     try:
         configured = ProxyConfig.model_validate(changed(whole, changes))
     except ValidationError as error:
--- a/tests/support/distribution_processes.py
+++ b/tests/support/distribution_processes.py
@@ -23,8 +23,8 @@
 from gullmount.rpc import call
 from tests.support.distribution_scene import RecordingHandler
 from tests.support.fault_block import own_block
-from tests.support.proxy_edge import OK, lines
-from tests.support.proxy_edge import terms as proxy_terms
+from tests.support.proxy_edge import OK_RESPONSE, serve_watch
+from tests.support.proxy_edge import make_proxy_config as proxy_terms
 
 WITHIN = 60.0  # s for any one step: no verdict hangs on how fast the machine is
 LOOK = 0.02  # s between looks
@@ -107,14 +107,14 @@
     async def proxy(self) -> None:
         async def launcher(stream: Stream) -> None:
             try:
-                await lines(stream, {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}})
+                await serve_watch(stream, {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}})
             except STREAM_ERRORS:
                 pass
 
         async def server(stream: Stream) -> None:
             try:
                 while await stream.receive():
-                    await stream.send(OK)
+                    await stream.send(OK_RESPONSE)
             except STREAM_ERRORS:
                 pass
 
--- a/tests/support/fuzzed_programs.py
+++ b/tests/support/fuzzed_programs.py
@@ -31,7 +31,7 @@
     request_bytes,
     server_answering,
 )
-from tests.support.proxy_edge import terms
+from tests.support.proxy_edge import make_proxy_config
 
 ANSWER_SECONDS = 3.0  # for a request that nothing is wrong with
 SPOILT_SHARE = 0.5  # of what servers, discovery and the release controller write while messages are sent
@@ -198,7 +198,7 @@
         ]  # fmt: skip
         roster = lines_script({"kind": "full", "index": 1, "boxes": boxes}, {"kind": "alive"})
         news = {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}}
-        told = terms(
+        told = make_proxy_config(
             of=2,
             listen=f"{here}:8000",
             roster={"address": await self.world.serve(9203, self.spoiling(roster))},
--- a/tests/support/pause_sweep.py
+++ b/tests/support/pause_sweep.py
@@ -43,7 +43,7 @@
     read_message,
     request_bytes,
 )
-from tests.support.proxy_edge import terms
+from tests.support.proxy_edge import make_proxy_config
 from tests.support.soak import Change, Seen, check_drains, check_repeats
 
 LOST_AFTER_SECONDS = 0.1  # from a client's close to an attempt that begins, as the page has it
@@ -334,7 +334,7 @@
         released = {"news": {"build": BUILD, "stage": 2, "phase": "released", "cap": 1.0}}
         trial = {"news": {"build": CANDIDATE, "stage": 0, "phase": "on_trial", "cap": LIMIT}}
         releases = {"caps": [LIMIT, 0.35, 1.0], "window": WINDOW_SECONDS, "spare_tries": SPARE}
-        told = terms(
+        told = make_proxy_config(
             listen=f"{HOST}:8100",
             roster={"address": await self.world.serve(8101, self.watch)},
             launcher={"address": await self.world.serve(8102, lines_script(released, trial))},
--- a/tests/support/proxy_edge.py
+++ b/tests/support/proxy_edge.py
@@ -14,13 +14,13 @@
 from gullmount.proxy import ProxyConfig, ProxyInstance
 from tests.support.fault_block import own_block
 
-BoxScript = Callable[[Stream], Awaitable[None]]
-OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
-FULL = b"HTTP/1.1 503 Busy\r\nx-not-begun: 1\r\ncontent-length: 0\r\n\r\n"
+ServerScript = Callable[[Stream], Awaitable[None]]
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
+OVERLOADED_RESPONSE = b"HTTP/1.1 503 Busy\r\nx-not-begun: 1\r\ncontent-length: 0\r\n\r\n"
 HOST = f"{own_block()}.0.1"
 
 
-def terms(**changes: Any) -> ProxyConfig:
+def make_proxy_config(**changes: Any) -> ProxyConfig:
     told = {
         "number": 0,
         "of": 1,
@@ -82,25 +82,25 @@
     return ProxyConfig.model_validate({**told, **changes})
 
 
-class Edge:
-    """The scripted surroundings; `seen` holds what each box read, in order of connections."""
+class ProxyFixture:
+    """The scripted surroundings; `received` holds what each box read, in order of connections."""
 
-    def __init__(self, net: Net, umpire: ProxyInstance) -> None:
+    def __init__(self, net: Net, proxy: ProxyInstance) -> None:
         self.net = net
-        self.umpire = umpire
-        self.seen: list[tuple[str, bytes]] = []
+        self.proxy = proxy
+        self.received: list[tuple[str, bytes]] = []
         self.outcomes: list[str] = []
 
-    async def client(self) -> Stream:
-        return await self.net.connect(self.umpire.config.listen)
+    async def connect_client(self) -> Stream:
+        return await self.net.connect(self.proxy.config.listen)
 
-    async def ask(self, data: bytes, within: float = 5.0) -> bytes:
+    async def send_and_read(self, data: bytes, within: float = 5.0) -> bytes:
         """Send `data`, and all that comes back until the connection ends or falls silent."""
-        stream = await self.client()
+        stream = await self.connect_client()
         await stream.send(data)
-        return await self.rest(stream, within)
+        return await self.read_to_end(stream, within)
 
-    async def rest(self, stream: Stream, within: float = 5.0) -> bytes:
+    async def read_to_end(self, stream: Stream, within: float = 5.0) -> bytes:
         got = b""
         with anyio.move_on_after(within):
             try:
@@ -112,7 +112,7 @@
         return got
 
 
-async def lines(stream: Stream, *told: dict[str, Any]) -> None:
+async def serve_watch(stream: Stream, *told: dict[str, Any]) -> None:
     """A watch: the head, then each message as a chunk; stays open."""
     await stream.receive()
     out = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -124,7 +124,9 @@
 
 
 @asynccontextmanager
-async def edge(net: Net, scripts: dict[str, BoxScript], **changes: Any) -> AsyncIterator[Edge]:
+async def proxy_fixture(
+    net: Net, scripts: dict[str, ServerScript], **changes: Any
+) -> AsyncIterator[ProxyFixture]:
     """An umpire that knows one box for each script, by name of its port."""
     boxes = [
         {
@@ -141,42 +143,42 @@
     ]
 
     async def roster(stream: Stream) -> None:
-        await lines(stream, {"kind": "full", "index": 1, "boxes": boxes})
+        await serve_watch(stream, {"kind": "full", "index": 1, "boxes": boxes})
 
     async def launcher(stream: Stream) -> None:
-        await lines(stream, {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}})
+        await serve_watch(stream, {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}})
 
     async with anyio.create_task_group() as tasks:
 
-        async def serve(address: str, script: BoxScript) -> None:
+        async def serve(address: str, script: ServerScript) -> None:
             started = anyio.Event()
             tasks.start_soon(net.serve, address, script, started)
             await started.wait()
 
         await serve(f"{HOST}:7001", roster)
         await serve(f"{HOST}:7002", launcher)
-        async with ProxyInstance(terms(**changes), net=net) as umpire:
-            made = Edge(net, umpire)
-            ended = umpire.runtime.router.attempt_ended
+        async with ProxyInstance(make_proxy_config(**changes), net=net) as proxy:
+            made = ProxyFixture(net, proxy)
+            ended = proxy.runtime.router.attempt_ended
 
             def note(req: Any, number: int, outcome: Any, latency: float, final: bool) -> None:
                 made.outcomes.append(outcome.value)
                 ended(req, number, outcome, latency, final)
 
-            umpire.runtime.router.attempt_ended = note  # type: ignore[method-assign]
+            proxy.runtime.router.attempt_ended = note  # type: ignore[method-assign]
             for port, script in scripts.items():
 
-                async def noted(stream: Stream, port: str = port, script: BoxScript = script) -> None:
+                async def noted(stream: Stream, port: str = port, script: ServerScript = script) -> None:
                     try:
                         await script(Noting(stream, port, made))
                     except STREAM_ERRORS:
                         pass
                     await anyio.aclose_forcefully(stream)
 
-                if script is not refused:
+                if script is not connection_refused:
                     await serve(f"{HOST}:{port}", noted)
             with anyio.fail_after(5):
-                await umpire.listening.wait()
+                await proxy.listening.wait()
             yield made
         tasks.cancel_scope.cancel()
 
@@ -184,12 +186,12 @@
 class Noting(Stream):
     """A box's end of a connection that notes what it reads."""
 
-    def __init__(self, inner: Stream, port: str, made: Edge) -> None:
+    def __init__(self, inner: Stream, port: str, made: ProxyFixture) -> None:
         self.inner, self.port, self.made = inner, port, made
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
         data = await self.inner.receive(max_bytes)
-        self.made.seen.append((self.port, data))
+        self.made.received.append((self.port, data))
         return data
 
     async def send(self, item: bytes) -> None:
@@ -209,11 +211,11 @@
         return self.inner.abort  # type: ignore[attr-defined]
 
 
-async def refused(stream: Stream) -> None:
+async def connection_refused(stream: Stream) -> None:
     """Stands for a box that nobody runs."""
 
 
-def play(virtual: bool, scene: Callable[[Net], Awaitable[None]]) -> None:
+def run_with_net(virtual: bool, scene: Callable[[Net], Awaitable[None]]) -> None:
     """Run a scene in memory and virtual time, or on sockets."""
     if virtual:
         clock = trio.testing.MockClock(autojump_threshold=0)
--- a/tests/support/subscribed_proxy_scene.py
+++ b/tests/support/subscribed_proxy_scene.py
@@ -12,8 +12,8 @@
 from gullmount.proxy import ProxyInstance
 from gullmount.rpc import call
 from tests.support.distribution_scene import RELAYS, ZONES, Scene
-from tests.support.proxy_edge import OK, lines
-from tests.support.proxy_edge import terms as proxy_terms
+from tests.support.proxy_edge import OK_RESPONSE, serve_watch
+from tests.support.proxy_edge import make_proxy_config as proxy_terms
 
 SERVERS = {"one": "10.0.5.1:80", "two": "10.0.5.2:80"}
 
@@ -54,7 +54,7 @@
 
     async def begin(self) -> None:
         async def launcher(stream: Stream) -> None:
-            await lines(stream, {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}})
+            await serve_watch(stream, {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}})
 
         await self.serve("10.0.4.1:7002", launcher)
         for name, address in SERVERS.items():
@@ -65,7 +65,7 @@
             try:
                 while await stream.receive():
                     self.seen.append(name)
-                    await stream.send(OK)
+                    await stream.send(OK_RESPONSE)
             except STREAM_ERRORS:
                 pass
 
