--- a/gullmount/proxy/__init__.py
+++ b/gullmount/proxy/__init__.py
@@ -12,7 +12,7 @@
     from gullmount.proxy.instance import ProxyInstance
     from gullmount.proxy.state_store import FileStateStore, NullStateStore, StateStore
 
-MODULES = {
+MODULE_BY_NAME = {
     "FileStateStore": "state_store",
     "NullStateStore": "state_store",
     "ProxyConfig": "config",
@@ -24,6 +24,6 @@
 
 
 def __getattr__(name: str) -> Any:
-    if name not in MODULES:
+    if name not in MODULE_BY_NAME:
         raise AttributeError(name)
-    return getattr(import_module(f"gullmount.proxy.{MODULES[name]}"), name)
+    return getattr(import_module(f"gullmount.proxy.{MODULE_BY_NAME[name]}"), name)
--- a/gullmount/proxy/cached_state.py
+++ b/gullmount/proxy/cached_state.py
@@ -36,7 +36,7 @@
     releases: list[Any]
 
 
-def cached_endpoint(message: EndpointMessage, since: float | None) -> CachedEndpoint:
+def to_cached_endpoint(message: EndpointMessage, since: float | None) -> CachedEndpoint:
     """Return the endpoint with the time of its start."""
     return CachedEndpoint(
         server_id=message.server_id,
@@ -78,15 +78,15 @@
                 self.endpoints.pop(message.server_id, None)
             else:
                 since = None if message.age is None else wall_time - message.age
-                self.endpoints[message.server_id] = cached_endpoint(message, since)
+                self.endpoints[message.server_id] = to_cached_endpoint(message, since)
 
     def update_release(self, status: ReleaseStatus) -> bool:
         """Remember a release's status; return whether it is new."""
         if status == self.releases.get(status.build):
             return False
         self.releases[status.build] = status
-        newest = sorted(self.releases)[-MAX_CACHED_RELEASES:]
-        self.releases = {build: self.releases[build] for build in newest}
+        newest_builds = sorted(self.releases)[-MAX_CACHED_RELEASES:]
+        self.releases = {build: self.releases[build] for build in newest_builds}
         return True
 
     def encode(self) -> bytes:
--- a/gullmount/proxy/config.py
+++ b/gullmount/proxy/config.py
@@ -45,10 +45,10 @@
 
 
 Address = Annotated[str, AfterValidator(check_address)]
-Header = Annotated[str, AfterValidator(normalize_header)]
-Share = Annotated[float, Field(ge=0, le=1)]
-NotNegative = Annotated[float, Field(ge=0)]
-Count = Annotated[int, Field(ge=0)]
+HeaderName = Annotated[str, AfterValidator(normalize_header)]
+Fraction = Annotated[float, Field(ge=0, le=1)]
+NonNegativeFloat = Annotated[float, Field(ge=0)]
+NonNegativeInt = Annotated[int, Field(ge=0)]
 
 
 class RouteMatch(Described):
@@ -59,16 +59,16 @@
 
     method: list[str] = []
     path: str = "/*"
-    headers: dict[Header, str] = {}
+    headers: dict[HeaderName, str] = {}
 
     def pattern(self) -> re.Pattern[str]:
         """Return the pattern of matching targets, with any query."""
         parts = self.path.split("*")
-        inner = "[^/?]*".join(re.escape(part) for part in parts[:-1])
+        leading_segments = "[^/?]*".join(re.escape(part) for part in parts[:-1])
         if len(parts) == 1:
             return re.compile(re.escape(self.path) + r"(\?.*)?", re.ASCII | re.DOTALL)
-        joined = inner + "[^/?]*" if parts[-1] else inner + ".*"
-        return re.compile(joined + re.escape(parts[-1]) + r"(\?.*)?", re.ASCII | re.DOTALL)
+        pattern_text = leading_segments + "[^/?]*" if parts[-1] else leading_segments + ".*"
+        return re.compile(pattern_text + re.escape(parts[-1]) + r"(\?.*)?", re.ASCII | re.DOTALL)
 
 
 class RouteConfig(Described):
@@ -89,12 +89,12 @@
     timeout: PositiveFloat
     repeats: RetrySafety
     group: DeduplicationScope = DeduplicationScope.ALL
-    dedupe_window: NotNegative = 0.0
-    dedupe_mark: Header | None = None
+    dedupe_window: NonNegativeFloat = 0.0
+    dedupe_mark: HeaderName | None = None
     stream: bool = False
 
     @model_validator(mode="after")
-    def check(self) -> Self:
+    def check_consistency(self) -> Self:
         """Return the route. Raises ConfigError where its values contradict each other."""
         if self.name.endswith(AT_MOST_ONCE_SUFFIX):
             raise ReservedRouteNameError(AT_MOST_ONCE_SUFFIX)
@@ -115,9 +115,9 @@
     The first one found counts.
     """
 
-    header: Header | None = None
+    header: HeaderName | None = None
     cookie: str | None = None
-    segment: Count | None = None
+    segment: NonNegativeInt | None = None
 
 
 class DownstreamConfig(Described):
@@ -134,11 +134,11 @@
         write_within: for the client to take what is written.
     """
 
-    patience_header: Header = "x-patience-ms"
-    margin: NotNegative = 0.005
+    patience_header: HeaderName = "x-patience-ms"
+    margin: NonNegativeFloat = 0.005
     head_most: PositiveInt = 32768
     body_most: PositiveInt = 16 << 20
-    body_kept: Count = 1 << 20
+    body_kept: NonNegativeInt = 1 << 20
     connections: PositiveInt = 4096
     read_within: PositiveFloat = 10.0
     idle: PositiveFloat = 60.0
@@ -159,32 +159,32 @@
         not_begun_header: by which a server says that it did not begin a request.
     """
 
-    cold_share: Share
+    cold_share: Fraction
     warm_time: PositiveFloat
     tip_multiple: PositiveFloat
     max_tries: PositiveInt
     connect_within: PositiveFloat = 0.25
     link_idle: PositiveFloat = 15.0
     links: PositiveInt = 256
-    answer_kept: Count = 1 << 20
-    not_begun_header: Header = "x-not-begun"
+    answer_kept: NonNegativeInt = 1 << 20
+    not_begun_header: HeaderName = "x-not-begun"
 
 
 class ReleaseConfig(Described):
     """How builds are exposed and what votes bring about; `ReleaseSettings` has the field's terms."""
 
-    caps: Annotated[list[Share], Field(min_length=1)]
+    caps: Annotated[list[Fraction], Field(min_length=1)]
     by_route: bool = False
-    closed_stages: Count = 0
+    closed_stages: NonNegativeInt = 0
     one_way: bool = False
     window: PositiveFloat
-    spare_tries: NotNegative
+    spare_tries: NonNegativeFloat
     timed: bool = False
     vote_life: PositiveFloat
-    to_advance: Count
+    to_advance: NonNegativeInt
     back_votes: PositiveInt
     votes_per_s: PositiveFloat
-    tally_period: NotNegative = 0.0
+    tally_period: NonNegativeFloat = 0.0
     at_once: PositiveInt = 1
 
     def release_settings(self) -> ReleaseSettings:
@@ -224,7 +224,7 @@
     """Where this instance receives gossip, and where all do, by number."""
 
     listen: Address
-    addresses: dict[Count, Address]
+    addresses: dict[NonNegativeInt, Address]
 
 
 class ProxyConfig(Described):
@@ -239,7 +239,7 @@
         max_retry_after: highest Retry-After of a rejected request; 0 for none.
     """
 
-    number: Count
+    number: NonNegativeInt
     of: PositiveInt
     zone: str
     listen: Address
@@ -254,15 +254,15 @@
     clients: DownstreamConfig = DownstreamConfig()
     boxes: UpstreamConfig
     releases: ReleaseConfig
-    max_retry_after: NotNegative = 0.0
+    max_retry_after: NonNegativeFloat = 0.0
 
     @model_validator(mode="after")
-    def check(self) -> Self:
+    def check_consistency(self) -> Self:
         """Return the configuration. Raises ConfigError where its values contradict each other."""
         names = [route.name for route in self.routes]
-        twice = sorted({name for name in names if names.count(name) > 1})
-        if twice:
-            raise DuplicateRouteError(twice)
+        duplicates = sorted({name for name in names if names.count(name) > 1})
+        if duplicates:
+            raise DuplicateRouteError(duplicates)
         if self.number >= self.of:
             raise InstanceNumberError(self.number, self.of)
         return self
@@ -274,9 +274,9 @@
         """
         routes: dict[str, Route] = {}
         for config in self.routes:
-            once_name = config.name + AT_MOST_ONCE_SUFFIX
+            at_most_once_name = config.name + AT_MOST_ONCE_SUFFIX
             routes[config.name] = config.route(config.name, config.repeats, config.dedupe_window)
-            routes[once_name] = config.route(config.name, RetrySafety.AT_MOST_ONCE, 0.0)
+            routes[at_most_once_name] = config.route(config.name, RetrySafety.AT_MOST_ONCE, 0.0)
         return InstanceSettings(
             seed=seed,
             routes=routes,
--- a/gullmount/proxy/discovery_client.py
+++ b/gullmount/proxy/discovery_client.py
@@ -18,7 +18,7 @@
 from gullmount.proxy.runtime import StreamingRuntime
 from gullmount.rpc import CallError, InvalidMessageError, convert, decode_message, stream_lines
 
-HEARTBEAT = "alive"
+HEARTBEAT_KIND = "alive"
 UPDATE_KINDS = {"full": EndpointUpdateKind.SNAPSHOT, "changes": EndpointUpdateKind.UPDATE}
 
 
@@ -55,21 +55,21 @@
     """
 
     def __init__(self) -> None:
-        self.known: dict[str, tuple[str, float]] = {}
+        self.reported_starts: dict[str, tuple[str, float]] = {}
 
     def started_at(self, message: EndpointMessage, now: float) -> float:
         """Return the server's start in seconds of the clock, 0 where it is unknown."""
         started_at = 0.0
         server_id = message.server_id
         if message.start is not None and message.age is not None:
-            if self.known.get(server_id, ("", 0.0))[0] != message.start:
-                self.known[server_id] = message.start, now - max(0.0, message.age)
-            started_at = self.known[server_id][1]
+            if self.reported_starts.get(server_id, ("", 0.0))[0] != message.start:
+                self.reported_starts[server_id] = message.start, now - max(0.0, message.age)
+            started_at = self.reported_starts[server_id][1]
         if message.state is EndpointState.REMOVED:
-            self.known.pop(server_id, None)
+            self.reported_starts.pop(server_id, None)
         return started_at
 
-    def endpoint(self, message: EndpointMessage, now: float) -> Endpoint:
+    def to_endpoint(self, message: EndpointMessage, now: float) -> Endpoint:
         """Return the endpoint as the router takes it."""
         return Endpoint(
             server_id=message.server_id,
@@ -81,9 +81,9 @@
             started_at=self.started_at(message, now),
         )
 
-    def decode_endpoint(self, message: Any, now: float) -> Endpoint:
+    def decode_endpoint(self, entry: Any, now: float) -> Endpoint:
         """Decode one endpoint's JSON object. Raises InvalidMessageError."""
-        return self.endpoint(convert(message, EndpointMessage), now)
+        return self.to_endpoint(convert(entry, EndpointMessage), now)
 
 
 class DiscoveryClient:
@@ -128,31 +128,33 @@
 
     async def watch(self) -> bool:
         """Return whether any message was valid before the watch broke."""
-        received = False
+        received_any = False
         errors = self.runtime.handler_errors
         try:
             target = f"/v1/roster?after={self.index}&umpire={self.runtime.instance_number}"
             with errors.contained("discovery message", passing=(CallError, InvalidMessageError)):
                 async for line in stream_lines(self.net, self.address, target):
                     self.handle_message(line)
-                    received = True
+                    received_any = True
         except CallError as error:
             self.runtime.log_event(LogEvent.DISCOVERY_WATCH_ENDED, reason=str(error))
-            return received
+            return received_any
         except InvalidMessageError as error:
             self.runtime.log_event(LogEvent.DISCOVERY_MESSAGE_INVALID, reason=str(error))
         self.index = 0  # the next watch begins with a snapshot
-        return received
+        return received_any
 
     def handle_message(self, line: bytes) -> None:
         """Put one message in force. Raises InvalidMessageError, and then nothing of it is."""
         fields = decode_message(line)
-        if fields.get("kind") == HEARTBEAT:
+        if fields.get("kind") == HEARTBEAT_KIND:
             return
         message = convert(fields, DiscoveryMessage)
         kind = UPDATE_KINDS[message.kind]
         now = self.runtime.now()
-        endpoints = [self.start_times.endpoint(one, now) for one in message.endpoints]
+        endpoints = [
+            self.start_times.to_endpoint(endpoint_message, now) for endpoint_message in message.endpoints
+        ]
         self.index = message.index
         self.runtime.router.update_endpoints(kind, endpoints)
         for endpoint in endpoints:
--- a/gullmount/proxy/instance.py
+++ b/gullmount/proxy/instance.py
@@ -62,7 +62,7 @@
         self.state_store = state_store or NullStateStore()
         self.wall = wall
         self.log = log
-        self.cached = CachedState()
+        self.cached_state = CachedState()
         self.state_changed = anyio.Event()
         self.endpoints_known = anyio.Event()
         self.release_known = anyio.Event()
@@ -71,14 +71,14 @@
         async with AsyncExitStack() as stack:
             self.task_group = await stack.enter_async_context(anyio.create_task_group())
             saved = self.load_state()
-            self.build(restarted=saved is not None)
+            self.create_components(restarted=saved is not None)
             if saved is not None:
                 self.restore_state(saved)
             if self.config.peers is not None:
                 datagrams = await self.net.datagrams(self.config.peers.listen)
-                self.join_peers(PeerGossip(self.runtime, datagrams, dict(self.config.peers.addresses)))
+                self.start_gossip(PeerGossip(self.runtime, datagrams, dict(self.config.peers.addresses)))
             self.start_tasks()
-            self.stack = stack.pop_all()
+            self.exit_stack = stack.pop_all()
         return self
 
     async def __aexit__(
@@ -88,9 +88,9 @@
         traceback: TracebackType | None,
     ) -> bool | None:
         self.task_group.cancel_scope.cancel()
-        return await self.stack.__aexit__(exception_type, exception, traceback)
+        return await self.exit_stack.__aexit__(exception_type, exception, traceback)
 
-    def build(self, restarted: bool) -> None:
+    def create_components(self, restarted: bool) -> None:
         """Make all parts and connect them."""
         config, net = self.config, self.net
         settings = config.instance_settings(self.seed, restarted)
@@ -105,13 +105,13 @@
         self.runtime.on_vote = self.release_controller.vote
         self.runtime.on_watch_endpoints = self.discovery.request_watch
 
-    def join_peers(self, peers: PeerGossip) -> None:
+    def start_gossip(self, gossip: PeerGossip) -> None:
         """Exchange votes, evidence and findings with the peers."""
-        self.runtime.on_gossip_vote = peers.gossip_vote
+        self.runtime.on_gossip_vote = gossip.gossip_vote
         attribution = self.runtime.router.attribution
         if attribution is not None:
-            attribution.connect_peers(peers.send_samples, peers.send_assessment)
-        self.task_group.start_soon(peers.receive_forever)
+            attribution.connect_peers(gossip.send_samples, gossip.send_assessment)
+        self.task_group.start_soon(gossip.receive_forever)
 
     def start_tasks(self) -> None:
         """Start all that runs as long as the instance."""
@@ -136,13 +136,13 @@
         if attribution is not None:
             attribution.set_leader(self.runtime.now(), instance_number, token, reduced_build)
 
-    def on_traffic_reduction(self, ask: Callable[[int], None]) -> None:
+    def on_traffic_reduction(self, callback: Callable[[int], None]) -> None:
         """Set what is called when this instance would reduce a build's traffic, with 0 when that is over.
 
         `allow_traffic_reduction` answers it.
         """
         if self.runtime.router.attribution is not None:
-            self.runtime.router.attribution.on_reduction_request(ask)
+            self.runtime.router.attribution.on_reduction_request(callback)
 
     def allow_traffic_reduction(self, build: int) -> None:
         """Begin to reduce the build's traffic."""
@@ -172,13 +172,13 @@
 
     def cache_endpoints(self, messages: Sequence[EndpointMessage], is_snapshot: bool) -> None:
         """Remember endpoints for the next start."""
-        self.cached.update_endpoints(messages, is_snapshot, self.wall())
+        self.cached_state.update_endpoints(messages, is_snapshot, self.wall())
         self.endpoints_known.set()
         self.state_changed.set()
 
     def cache_release(self, status: ReleaseStatus) -> None:
         """Remember a release's status for the next start."""
-        if self.cached.update_release(status):
+        if self.cached_state.update_release(status):
             self.state_changed.set()
         self.release_known.set()
 
@@ -188,7 +188,7 @@
             await self.state_changed.wait()
             self.state_changed = anyio.Event()
             try:
-                await self.state_store.save(self.cached.encode())
+                await self.state_store.save(self.cached_state.encode())
             except OSError as error:
                 self.log(LogEvent.STATE_NOT_SAVED, reason=error.strerror)
             await anyio.sleep(SAVE_INTERVAL_SECONDS)
@@ -226,6 +226,6 @@
         except InvalidMessageError as error:
             self.log(LogEvent.CACHED_ENDPOINT_INVALID, reason=str(error))
             return None
-        self.cached.endpoints[cached.server_id] = cached
+        self.cached_state.endpoints[cached.server_id] = cached
         age = None if cached.since is None else max(0.0, wall_time - cached.since)
-        return self.discovery.start_times.endpoint(msgspec.structs.replace(cached, age=age), now)
+        return self.discovery.start_times.to_endpoint(msgspec.structs.replace(cached, age=age), now)
--- a/gullmount/proxy/peer_gossip.py
+++ b/gullmount/proxy/peer_gossip.py
@@ -68,7 +68,10 @@
     """Return the assessment as it goes on the wire."""
     finding = assessment.finding
     return AssessmentMessage(
-        blamed=[(build, why[:MAX_REASON_CHARACTERS]) for build, why in assessment.rollback_reasons.items()],
+        blamed=[
+            (build, rollback_reason[:MAX_REASON_CHARACTERS])
+            for build, rollback_reason in assessment.rollback_reasons.items()
+        ],
         clear=list(assessment.promotable_stages.items()),
         failing=list(assessment.failing_routes.items()),
         lessened=assessment.reduced_build,
@@ -116,10 +119,10 @@
     def send_samples(self, peer: int, rows: list[SampleRow]) -> None:
         """Send what was seen since the last time, in as many messages as it needs."""
         rows_per_message = MAX_PEER_MESSAGE_BYTES // TYPICAL_ROW_BYTES
-        for start in range(0, len(rows), rows_per_message):
-            some = rows[start : start + rows_per_message]
+        for offset in range(0, len(rows), rows_per_message):
+            batch = rows[offset : offset + rows_per_message]
             self.send_in_background(
-                peer, SamplesGossip(version=MESSAGE_VERSION, sender=self.runtime.instance_number, rows=some)
+                peer, SamplesGossip(version=MESSAGE_VERSION, sender=self.runtime.instance_number, rows=batch)
             )
 
     def send_assessment(self, peer: int, assessment: Assessment) -> None:
@@ -199,10 +202,12 @@
     def is_plausible(self, row: SampleRow) -> bool:
         """Whether the row is about a known server and route, and its sums can be right."""
         server = self.runtime.router.endpoints.servers.get(row.server_id)
-        known = (
+        is_known = (
             server is not None
             and server.build == row.build
             and row.route in self.runtime.router.settings.routes
         )
-        counts = 0 <= row.failed <= row.attempts <= MAX_ROW_ATTEMPTS and 0 <= row.timed <= row.attempts
-        return known and counts and row.squares * row.timed >= row.total**2 * 0.99 - 1
+        counts_are_consistent = (
+            0 <= row.failed <= row.attempts <= MAX_ROW_ATTEMPTS and 0 <= row.timed <= row.attempts
+        )
+        return is_known and counts_are_consistent and row.squares * row.timed >= row.total**2 * 0.99 - 1
--- a/gullmount/proxy/release_controller_client.py
+++ b/gullmount/proxy/release_controller_client.py
@@ -29,8 +29,8 @@
     stream_lines,
 )
 
-HEARTBEAT = "alive"
-OK = 200
+HEARTBEAT_KIND = "alive"
+HTTP_OK = 200
 
 
 class ReleaseStatus(msgspec.Struct):
@@ -107,7 +107,7 @@
             self.apply_status(message["news"])
         elif "tally" in message:
             self.apply_metrics(convert(message["tally"], MetricsMessage))
-        elif message.get("kind") != HEARTBEAT:
+        elif message.get("kind") != HEARTBEAT_KIND:
             raise UnknownMessageError
 
     def apply_status(self, fields: Any) -> None:
@@ -144,14 +144,14 @@
                 status, body = await call(
                     self.net, self.config.address, "POST", "/v1/votes", msgspec.json.encode(message)
                 )
-            self.handle_vote_answer(status, body)
+            self.handle_vote_response(status, body)
         except (CallError, InvalidMessageError, TimeoutError) as error:
             self.runtime.log_event(LogEvent.VOTE_FAILED, reason=str(error) or "no answer in time")
             self.runtime.router.vote_failed(build)
 
-    def handle_vote_answer(self, status: int, body: bytes) -> None:
+    def handle_vote_response(self, status: int, body: bytes) -> None:
         """Put the statuses in force that answer a vote. Raises CallError or InvalidMessageError."""
-        if status != OK:
+        if status != HTTP_OK:
             raise VoteRefusedError(status)
         for line in body.splitlines() or [body]:  # an empty body is no answer
             self.apply_status(decode_message(line).get("news"))
--- a/gullmount/proxy/runtime.py
+++ b/gullmount/proxy/runtime.py
@@ -265,9 +265,9 @@
 
     def call_after(self, delay: float, callback: Callable[[], None]) -> None:
         """Call `callback` in `delay` seconds."""
-        self.task_group.start_soon(self.wait_and_call, delay, callback)
+        self.task_group.start_soon(self.call_after_delay, delay, callback)
 
-    async def wait_and_call(self, delay: float, callback: Callable[[], None]) -> None:
+    async def call_after_delay(self, delay: float, callback: Callable[[], None]) -> None:
         """Call `callback` after `delay` seconds."""
         await anyio.sleep(delay)
         await self.stalls.wait_until_resumed()
@@ -294,7 +294,7 @@
             net,
             task_group,
             self.timers,
-            self.attempt_ended_when_resumed,
+            self.report_attempt_end_when_resumed,
             self.attempt_still_allowed,
             self.wait_until_resumed,
         )
@@ -310,7 +310,7 @@
         """Return at once, or once the loop has read what came during a stall."""
         await self.stalls.wait_until_resumed()
 
-    def attempt_ended_when_resumed(
+    def report_attempt_end_when_resumed(
         self,
         exchange: RequestExchange,
         number: int,
--- a/gullmount/proxy/state_store.py
+++ b/gullmount/proxy/state_store.py
@@ -51,14 +51,14 @@
         await anyio.to_thread.run_sync(self._replace, data)
 
     def _replace(self, data: bytes) -> None:
-        temporary = self.path.with_name(self.path.name + ".new")
-        with temporary.open("wb") as file:
+        temporary_path = self.path.with_name(self.path.name + ".new")
+        with temporary_path.open("wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        temporary.replace(self.path)
-        directory = os.open(self.path.parent, os.O_RDONLY)
+        temporary_path.replace(self.path)
+        directory_descriptor = os.open(self.path.parent, os.O_RDONLY)
         try:
-            os.fsync(directory)
+            os.fsync(directory_descriptor)
         finally:
-            os.close(directory)
+            os.close(directory_descriptor)
--- a/tests/proxy/test_errors.py
+++ b/tests/proxy/test_errors.py
@@ -11,7 +11,7 @@
 from gullmount.rpc import CallError
 
 
-def test_malformed_request_is_the_clients_error_and_a_malformed_response_the_servers() -> None:
+def test_malformed_request_blames_the_client_and_malformed_response_the_server() -> None:
     request, response = RequestParser(1000), ResponseParser(1000, "GET")
     request.feed(b"GET / HTTP/1.1\r\n\r\n")
     response.feed(b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\ntransfer-encoding: chunked\r\n\r\n")
@@ -30,16 +30,16 @@
         (ProtocolError(408, "too slow"), "protocol error by the client: too slow"),
     ],
 )
-def test_text_is_made_of_the_fields(error: GullmountError, text: str) -> None:
+def test_error_message_states_the_fields(error: GullmountError, text: str) -> None:
     assert isinstance(error, GullmountError) and str(error) == text
 
 
-def test_refused_vote_is_a_refused_call() -> None:
+def test_vote_refused_error_is_a_call_error() -> None:
     assert isinstance(VoteRefusedError(503), CallError)
 
 
 @pytest.mark.parametrize("text", ["", "x", ":1", "h:", "h:x", "h:65536", "h:100000"])
-def test_text_that_is_no_address_is_an_address_error(text: str) -> None:
+def test_parsing_an_invalid_address_raises_address_error_with_the_text(text: str) -> None:
     with pytest.raises(AddressError) as caught:
         parse_address(text)
     assert isinstance(caught.value, ValueError) and repr(text) in str(caught.value)
--- a/tests/proxy/test_event_loop_stalls.py
+++ b/tests/proxy/test_event_loop_stalls.py
@@ -17,126 +17,126 @@
 from gullmount.net.arrival import has_ended, seconds_since_data
 from gullmount.proxy.event_loop_stalls import (
     HEARTBEAT_SECONDS,
-    KERNEL_TICK_SECONDS,
-    RECENT_SECONDS,
+    KERNEL_TIMESTAMP_RESOLUTION_SECONDS,
+    RECENT_STALL_SECONDS,
     EventLoopStalls,
 )
 from tests.support.paths import ROOT
 
-STALL = 3.0  # s
+STALL_SECONDS = 3.0  # s
 
 
-class Scene:
-    """Stalls by a clock of its own, which `skip` puts forward as a stop of the process would."""
+class StallFixture:
+    """Stalls by a clock of its own, which `simulate_stall` puts forward as a stop of the process would."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
-        self.skipped = 0.0
-        self.logged: list[dict[str, Any]] = []
+        self.clock_offset = 0.0
+        self.log_lines: list[dict[str, Any]] = []
         self.stalls = EventLoopStalls(self.now, tasks, self.log, HandlerErrors(self.log))
 
     def now(self) -> float:
-        return anyio.current_time() + self.skipped
+        return anyio.current_time() + self.clock_offset
 
     def log(self, event: str, **fields: Any) -> None:
-        self.logged.append({"event": event, **fields})
+        self.log_lines.append({"event": event, **fields})
 
-    def skip(self, seconds: float = STALL) -> None:
-        self.skipped += seconds
+    def simulate_stall(self, seconds: float = STALL_SECONDS) -> None:
+        self.clock_offset += seconds
 
 
-def play(script: Callable[[Scene], Awaitable[None]]) -> None:
-    async def scene() -> None:
+def run_with_stalls(script: Callable[[StallFixture], Awaitable[None]]) -> None:
+    async def run_script() -> None:
         async with anyio.create_task_group() as tasks:
-            made = Scene(tasks)
-            tasks.start_soon(made.stalls.run)
+            stall_fixture = StallFixture(tasks)
+            tasks.start_soon(stall_fixture.stalls.run)
             await anyio.sleep(3 * HEARTBEAT_SECONDS)
-            await script(made)
+            await script(stall_fixture)
             tasks.cancel_scope.cancel()
 
-    anyio.run(scene)
+    anyio.run(run_script)
 
 
-def test_without_a_stall_the_arrival_is_now_and_nobody_asks_the_kernel_or_waits() -> None:
-    async def script(scene: Scene) -> None:
+def test_without_a_stall_arrival_time_is_now_and_callbacks_run_at_once() -> None:
+    async def script(fixture: StallFixture) -> None:
         called: list[str] = []
 
         def age() -> float | None:
             raise AssertionError
 
-        assert scene.stalls.arrival_time(age) == pytest.approx(scene.now(), abs=0.01)
-        scene.stalls.call_when_resumed(lambda: called.append("at once"))
-        assert called == ["at once"] and not scene.stalls.stalled_recently and not scene.logged
+        assert fixture.stalls.arrival_time(age) == pytest.approx(fixture.now(), abs=0.01)
+        fixture.stalls.call_when_resumed(lambda: called.append("at once"))
+        assert called == ["at once"] and not fixture.stalls.stalled_recently and not fixture.log_lines
 
-    play(script)
+    run_with_stalls(script)
 
 
-def test_after_a_stall_what_is_read_has_arrived_when_the_kernel_says_or_since_the_loop_last_looked() -> None:
+def test_after_a_stall_arrival_time_comes_from_the_kernel_or_is_the_last_poll_before_the_stall() -> None:
     """Guards against requests of a pause that count as of its end."""
 
-    async def script(scene: Scene) -> None:
-        began = scene.now()
-        scene.skip()
-        assert scene.stalls.arrival_time(lambda: 2.0) == pytest.approx(
-            began + STALL - 2.0 - KERNEL_TICK_SECONDS, abs=0.05
+    async def script(fixture: StallFixture) -> None:
+        started_at = fixture.now()
+        fixture.simulate_stall()
+        assert fixture.stalls.arrival_time(lambda: 2.0) == pytest.approx(
+            started_at + STALL_SECONDS - 2.0 - KERNEL_TIMESTAMP_RESOLUTION_SECONDS, abs=0.05
         )
-        assert began - 3 * HEARTBEAT_SECONDS < scene.stalls.arrival_time() <= began
-        assert [line["event"] for line in scene.logged] == ["event_loop_stalled"]
-        scene.skip(RECENT_SECONDS + STALL)
+        assert started_at - 3 * HEARTBEAT_SECONDS < fixture.stalls.arrival_time() <= started_at
+        assert [line["event"] for line in fixture.log_lines] == ["event_loop_stalled"]
+        fixture.simulate_stall(RECENT_STALL_SECONDS + STALL_SECONDS)
         await anyio.sleep(3 * HEARTBEAT_SECONDS)
 
-    play(script)
+    run_with_stalls(script)
 
 
-def test_decisions_wait_in_their_order_until_the_loop_has_read_what_came_meanwhile() -> None:
+def test_callbacks_are_deferred_in_order_until_data_of_the_stall_has_been_read() -> None:
     """Guards against an attempt that begins before its client's end, or a drain, has been read."""
 
-    async def script(scene: Scene) -> None:
+    async def script(fixture: StallFixture) -> None:
         order: list[str] = []
-        scene.skip()
-        scene.stalls.call_when_resumed(lambda: order.append("first"))
-        scene.stalls.call_when_resumed(lambda: order.append("second"))
+        fixture.simulate_stall()
+        fixture.stalls.call_when_resumed(lambda: order.append("first"))
+        fixture.stalls.call_when_resumed(lambda: order.append("second"))
         for _ in range(4):
             await anyio.sleep(0)
         order.append("read")
-        await scene.stalls.wait_until_resumed()
+        await fixture.stalls.wait_until_resumed()
         await anyio.sleep(0)
         assert order == ["read", "first", "second"]
-        assert scene.stalls.stalled_recently
+        assert fixture.stalls.stalled_recently
 
-    play(script)
+    run_with_stalls(script)
 
 
-def test_stall_between_decisions_holds_the_rest_back_and_one_that_fails_ends_nothing() -> None:
-    async def script(scene: Scene) -> None:
+def test_stall_during_deferred_callbacks_defers_the_rest_and_a_failing_callback_is_contained() -> None:
+    async def script(fixture: StallFixture) -> None:
         order: list[str] = []
 
-        def stop() -> None:
+        def stall() -> None:
             order.append("stopped")
-            scene.skip()
+            fixture.simulate_stall()
 
         def fail() -> None:
             raise KeyError
 
-        def note_stalls() -> None:
-            events = [line["event"] for line in scene.logged]
+        def record_stall_count() -> None:
+            events = [line["event"] for line in fixture.log_lines]
             order.append(f"after {events.count('event_loop_stalled')} stalls")
 
-        scene.skip()
-        for callback in (fail, stop, note_stalls):
-            scene.stalls.call_when_resumed(callback)
-        await scene.stalls.wait_until_resumed()
+        fixture.simulate_stall()
+        for callback in (fail, stall, record_stall_count):
+            fixture.stalls.call_when_resumed(callback)
+        await fixture.stalls.wait_until_resumed()
         await anyio.sleep(0)
         assert order == ["stopped", "after 2 stalls"]
-        assert "handler_failed" in [line["event"] for line in scene.logged]
+        assert "handler_failed" in [line["event"] for line in fixture.log_lines]
 
-    play(script)
+    run_with_stalls(script)
 
 
-def lines_of_a_stopped_process(how: str) -> list[str]:
+def output_of_stopped_process(mode: str) -> list[str]:
     """What a process prints whose read's deadline passes while it is stopped; the bytes come meanwhile."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         host, port = listener.getsockname()
-        command = [sys.executable, "-m", "tests.support.stopped_reader", host, str(port), how]
+        command = [sys.executable, "-m", "tests.support.stopped_reader", host, str(port), mode]
         with subprocess.Popen(command, stdout=subprocess.PIPE, text=True, cwd=ROOT) as process:
             sender, _ = listener.accept()
             with sender:
@@ -152,20 +152,18 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "lines"), [("stalls", ["drain", "decided"]), ("plain", ["timeout", "decided"])]
+    ("mode", "lines"), [("stalls", ["drain", "decided"]), ("plain", ["timeout", "decided"])]
 )
-def test_what_came_during_a_stall_is_in_time_though_its_deadline_has_passed(
-    how: str, lines: list[str]
-) -> None:
+def test_data_received_during_a_stall_is_returned_after_its_deadline(mode: str, lines: list[str]) -> None:
     """Guards against an answer of discovery that lies in the kernel and is given up as too late: a drain.
 
-    It is read before decisions are made. `plain` shows what is guarded against: the event loop notices the
+    It is read before decisions are fixture. `plain` shows what is guarded against: the event loop notices the
     deadline before it looks at the socket.
     """
-    assert lines_of_a_stopped_process(how) == lines
+    assert output_of_stopped_process(mode) == lines
 
 
-def test_kernel_tells_the_age_of_data_and_an_end_behind_it() -> None:
+def test_kernel_reports_the_age_of_unread_data_and_the_end_of_the_connection() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client = socket.create_connection(listener.getsockname())
         server, _ = listener.accept()
--- a/tests/proxy/test_log_events.py
+++ b/tests/proxy/test_log_events.py
@@ -7,7 +7,7 @@
 from gullmount.proxy.log_events import LogEvent
 
 
-def test_events_are_distinct_snake_case_words() -> None:
+def test_event_values_are_distinct_and_in_snake_case() -> None:
     values = [event.value for event in LogEvent]
     assert len(set(values)) == len(LogEvent.__members__)
     assert all(re.fullmatch(r"[a-z]+(_[a-z]+)*", value) for value in values)
--- a/tests/proxy/test_peer_gossip.py
+++ b/tests/proxy/test_peer_gossip.py
@@ -21,17 +21,17 @@
 ROW: list[Any] = [0, "b1", 2, "a", "pay", 4, 1, 3, -6.0, 13.0]
 
 
-class Wire:
+class FakeDatagrams:
     """Datagrams to hear, and those sent."""
 
-    def __init__(self, heard: list[tuple[bytes, str]]) -> None:
-        self.heard = heard
+    def __init__(self, incoming: list[tuple[bytes, str]]) -> None:
+        self.incoming = incoming
         self.sent: list[tuple[bytes, str]] = []
 
     async def receive(self) -> tuple[bytes, str]:
-        if not self.heard:
+        if not self.incoming:
             raise anyio.ClosedResourceError
-        return self.heard.pop(0)
+        return self.incoming.pop(0)
 
     async def send(self, data: bytes, address: str) -> None:
         self.sent.append((data, address))
@@ -40,51 +40,51 @@
         pass
 
 
-def played(
-    *heard: tuple[bytes, str], tell: list[SampleRow] | Assessment | None = None
-) -> tuple[StreamingRuntime, Wire, list[str]]:
+def run_gossip(
+    *incoming: tuple[bytes, str], outgoing: list[SampleRow] | Assessment | None = None
+) -> tuple[StreamingRuntime, FakeDatagrams, list[str]]:
     log: list[str] = []
-    wire = Wire(list(heard))
-    told = make_proxy_config(number=0, of=3)
-    told = told.model_copy(update={"releases": told.releases.model_copy(update={"at_once": 2})})
+    fake_datagrams = FakeDatagrams(list(incoming))
+    config = make_proxy_config(number=0, of=3)
+    config = config.model_copy(update={"releases": config.releases.model_copy(update={"at_once": 2})})
 
-    async def scene() -> StreamingRuntime:
+    async def exchange_messages() -> StreamingRuntime:
         async with anyio.create_task_group() as tasks:
-            grounds = told.instance_settings(1, False)
-            note = lambda event, **fields: log.append(event)  # noqa: E731
-            host = StreamingRuntime(GenericAdapter(told), grounds, MemoryNet(), tasks, note)
-            host.router.update_endpoints(
+            settings = config.instance_settings(1, False)
+            record_event = lambda event, **fields: log.append(event)  # noqa: E731
+            runtime = StreamingRuntime(GenericAdapter(config), settings, MemoryNet(), tasks, record_event)
+            runtime.router.update_endpoints(
                 EndpointUpdateKind.SNAPSHOT, [Endpoint("b1", "a", 0, 2, EndpointState.READY, 1.0, 0.0)]
             )
-            peers = PeerGossip(host, wire, PEERS)
-            if isinstance(tell, list):
-                peers.send_samples(1, tell)
-            elif tell is not None:
-                peers.send_assessment(1, tell)
-            await peers.receive_forever()
+            gossip = PeerGossip(runtime, fake_datagrams, PEERS)
+            if isinstance(outgoing, list):
+                gossip.send_samples(1, outgoing)
+            elif outgoing is not None:
+                gossip.send_assessment(1, outgoing)
+            await gossip.receive_forever()
             await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
-        return host
+        return runtime
 
-    return anyio.run(scene), wire, log
+    return anyio.run(exchange_messages), fake_datagrams, log
 
 
 def message(**fields: Any) -> bytes:
     return msgspec.json.encode({"v": 1, "from": 2, **fields})
 
 
-def tries(host: StreamingRuntime) -> int:
-    assert host.router.attribution is not None
+def count_attempts(runtime: StreamingRuntime) -> int:
+    assert runtime.router.attribution is not None
     return sum(
         sample.sums.attempts
-        for samples in host.router.attribution.evidence.slices.values()
+        for samples in runtime.router.attribution.evidence.slices.values()
         for sample in samples.values()
     )
 
 
-def test_sound_rows_add_to_the_evidence() -> None:
-    host, _, log = played((message(rows=[ROW, ROW]), "p2:1"))
-    assert tries(host) == 8 and log == []
+def test_valid_rows_are_added_to_the_evidence() -> None:
+    runtime, _, log = run_gossip((message(rows=[ROW, ROW]), "p2:1"))
+    assert count_attempts(runtime) == 8 and log == []
 
 
 @pytest.mark.parametrize(
@@ -100,9 +100,9 @@
         [10**9, *ROW[1:]],
     ],
 )
-def test_rows_that_do_not_add_up_are_left_out(row: list[Any]) -> None:
-    host, _, _ = played((message(rows=[row]), "p2:1"))
-    assert tries(host) == 0
+def test_implausible_rows_are_ignored(row: list[Any]) -> None:
+    runtime, _, _ = run_gossip((message(rows=[row]), "p2:1"))
+    assert count_attempts(runtime) == 0
 
 
 @pytest.mark.parametrize(
@@ -119,58 +119,62 @@
         (b"\xff{", "p2:1"),
     ],
 )
-def test_what_is_not_understood_is_dropped_with_one_line(data: bytes, source: str) -> None:
-    host, _, log = played((data, source))
-    assert tries(host) == 0 and log == ["peer_message_invalid"]
+def test_invalid_message_is_dropped_and_logged_once(data: bytes, source: str) -> None:
+    runtime, _, log = run_gossip((data, source))
+    assert count_attempts(runtime) == 0 and log == ["peer_message_invalid"]
 
 
-def test_rows_told_fit_a_message_and_are_understood() -> None:
+def test_sent_rows_fit_the_message_limit_and_decode_unchanged() -> None:
     rows = [
         SampleRow(1, f"127.255.255.{n}:65535", 12, "quezon-city", "submit-exam", 9, 1, 8, -20.123, 99.999)
         for n in range(100)
     ]
-    _, wire, _ = played(tell=rows)
-    assert all(len(data) <= MAX_PEER_MESSAGE_BYTES for data, _ in wire.sent)
-    told = [
+    _, fake_datagrams, _ = run_gossip(outgoing=rows)
+    assert all(len(data) <= MAX_PEER_MESSAGE_BYTES for data, _ in fake_datagrams.sent)
+    decoded_rows = [
         row
-        for data, _ in wire.sent
+        for data, _ in fake_datagrams.sent
         for row in msgspec.convert(msgspec.json.decode(data)["rows"], list[SampleRow])
     ]
-    assert told == rows
+    assert decoded_rows == rows
 
 
-def test_standing_comes_back_as_it_was_told() -> None:
+def test_sent_assessment_fits_the_message_limit_and_decodes() -> None:
     assessment = Assessment(
         Finding(Cause.BUILD, 2, "fails", "a", "pay"), {2: "why " * 100}, {3: 1}, {2: ["pay"]}, 3, 7
     )
-    _, wire, _ = played(tell=assessment)
-    ((data, _),) = wire.sent
+    _, fake_datagrams, _ = run_gossip(outgoing=assessment)
+    ((data, _),) = fake_datagrams.sent
     assert data.count(b'"token":7') == 1
     data = data.replace(b'"token":7', b'"token":0')
     assert len(data) <= MAX_PEER_MESSAGE_BYTES
-    host, _, log = played((data.replace(b'"from":0', b'"from":1'), "p1:1"))
+    runtime, _, log = run_gossip((data.replace(b'"from":0', b'"from":1'), "p1:1"))
     assert log == []
-    assert host.router.attribution is not None
-    heard, _ = host.router.attribution.evaluators.received[1]
-    assert (heard.promotable_stages, heard.failing_routes, heard.reduced_build) == ({3: 1}, {2: ["pay"]}, 3)
-    assert heard.finding.key == assessment.finding.key and heard.rollback_reasons[2].startswith("why why")
-
-
-def test_messages_sent_at_once_on_a_socket_all_come() -> None:
-    async def scene() -> list[bytes]:
-        net, got = TcpNet(), []
-        one, two = await net.datagrams("127.97.1.1:7100"), await net.datagrams("127.97.1.2:7100")
+    assert runtime.router.attribution is not None
+    decoded, _ = runtime.router.attribution.evaluators.received[1]
+    assert (
+        decoded.promotable_stages,
+        decoded.failing_routes,
+        decoded.reduced_build,
+    ) == ({3: 1}, {2: ["pay"]}, 3)
+    assert decoded.finding.key == assessment.finding.key and decoded.rollback_reasons[2].startswith("why why")
+
+
+def test_datagrams_sent_concurrently_on_one_socket_all_arrive() -> None:
+    async def exchange_datagrams() -> list[bytes]:
+        net, arrived = TcpNet(), []
+        sender, receiver = await net.datagrams("127.97.1.1:7100"), await net.datagrams("127.97.1.2:7100")
         async with anyio.create_task_group() as tasks:
             for number in range(50):
-                tasks.start_soon(one.send, b"%d" % number, "127.97.1.2:7100")
+                tasks.start_soon(sender.send, b"%d" % number, "127.97.1.2:7100")
             with anyio.move_on_after(5):
-                while len(got) < 50:
-                    got.append((await two.receive())[0])
-        await one.aclose()
-        await two.aclose()
-        return got
+                while len(arrived) < 50:
+                    arrived.append((await receiver.receive())[0])
+        await sender.aclose()
+        await receiver.aclose()
+        return arrived
 
-    assert len(anyio.run(scene)) == 50
+    assert len(anyio.run(exchange_datagrams)) == 50
 
 
 @pytest.mark.parametrize(
@@ -181,26 +185,28 @@
         (b'{"v":1,"news":{"build":2,"stage":0,"phase":"on_trial","cap":0.1}}\n' * 2, []),
     ],
 )
-def test_vote_answered_without_news_is_cast_again(body: bytes, failed: list[int]) -> None:
-    told = make_proxy_config(launcher={"address": "l:1"})
+def test_vote_response_without_release_status_reports_a_failed_vote(body: bytes, failed: list[int]) -> None:
+    config = make_proxy_config(launcher={"address": "l:1"})
 
-    async def answer(stream: Stream) -> None:
+    async def serve_vote_response(stream: Stream) -> None:
         await stream.receive()
         await stream.send(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body) + body)
 
-    async def scene() -> list[int]:
-        again: list[int] = []
+    async def send_one_vote() -> list[int]:
+        failed_builds: list[int] = []
         net = MemoryNet()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(net.serve, "l:1", answer)
+            tasks.start_soon(net.serve, "l:1", serve_vote_response)
             await anyio.sleep(0.01)
-            grounds = told.instance_settings(1, False)
-            host = StreamingRuntime(GenericAdapter(told), grounds, net, tasks, lambda event, **fields: None)
-            host.router.vote_failed = again.append  # type: ignore[method-assign,assignment]
-            await ReleaseControllerClient(host, net, told.launcher, lambda news: None).send_vote(
+            settings = config.instance_settings(1, False)
+            runtime = StreamingRuntime(
+                GenericAdapter(config), settings, net, tasks, lambda event, **fields: None
+            )
+            runtime.router.vote_failed = failed_builds.append  # type: ignore[method-assign,assignment]
+            await ReleaseControllerClient(runtime, net, config.launcher, lambda status: None).send_vote(
                 3, 0, Vote.ROLLBACK
             )
             tasks.cancel_scope.cancel()
-        return again
+        return failed_builds
 
-    assert anyio.run(scene) == failed
+    assert anyio.run(send_one_vote) == failed
--- a/tests/proxy/test_remembered_list.py
+++ b/tests/proxy/test_remembered_list.py
@@ -16,7 +16,7 @@
 SAVED_AT = 1_800_000_000.0  # s, Unix time at which the file was written
 
 
-def start(net: Net, tmp_path: Path, log: list[str]) -> ProxyInstance:
+def start_proxy(net: Net, tmp_path: Path, log: list[str]) -> ProxyInstance:
     """A proxy without discovery and release controller, an hour after the file was written."""
     path = tmp_path / "remembered.json"
     path.write_bytes(WRITTEN_BY_883DEA8.read_bytes())
@@ -29,10 +29,10 @@
     )
 
 
-def test_endpoint_list_and_release_status_of_883dea8_are_in_force_after_a_start(tmp_path: Path) -> None:
-    async def scene(net: Net) -> None:
+def test_endpoints_and_release_status_of_883dea8_are_restored_at_start(tmp_path: Path) -> None:
+    async def scenario(net: Net) -> None:
         log: list[str] = []
-        async with start(net, tmp_path, log) as proxy:
+        async with start_proxy(net, tmp_path, log) as proxy:
             servers = proxy.runtime.router.endpoints.servers
             listed = {
                 server_id: (server.zone, server.cell, server.build, server.ready, server.capacity_hint)
@@ -56,18 +56,18 @@
             )
         assert not [event for event in log if "invalid" in event], log
 
-    run_with_net(True, scene)
+    run_with_net(True, scenario)
 
 
-def test_requests_are_served_by_the_list_of_883dea8_and_none_by_its_draining_server(tmp_path: Path) -> None:
-    async def scene(net: Net) -> None:
+def test_requests_go_to_ready_servers_of_883dea8_and_never_to_the_draining_one(tmp_path: Path) -> None:
+    async def scenario(net: Net) -> None:
         served: list[str] = []
         assert isinstance(net, MemoryNet)
         async with anyio.create_task_group() as tasks:
             for number in range(1, 5):
                 address = f"10.0.0.{number}:8200"
 
-                async def answer(stream: Stream, address: str = address) -> None:
+                async def serve_ok(stream: Stream, address: str = address) -> None:
                     try:
                         while True:
                             await stream.receive()
@@ -77,9 +77,9 @@
                         pass
 
                 started = anyio.Event()
-                tasks.start_soon(net.serve, address, answer, started)
+                tasks.start_soon(net.serve, address, serve_ok, started)
                 await started.wait()
-            async with start(net, tmp_path, []) as proxy:
+            async with start_proxy(net, tmp_path, []) as proxy:
                 with anyio.fail_after(5):
                     await proxy.listening.wait()
                 for _ in range(20):
@@ -90,4 +90,4 @@
             tasks.cancel_scope.cancel()
         assert len(served) == 20 and "10.0.0.3:8200" not in served
 
-    run_with_net(True, scene)
+    run_with_net(True, scenario)
--- a/tests/support/proxy_edge.py
+++ b/tests/support/proxy_edge.py
@@ -21,7 +21,7 @@
 
 
 def make_proxy_config(**changes: Any) -> ProxyConfig:
-    told = {
+    settings = {
         "number": 0,
         "of": 1,
         "zone": "a",
@@ -79,7 +79,7 @@
             "votes_per_s": 50,
         },
     }
-    return ProxyConfig.model_validate({**told, **changes})
+    return ProxyConfig.model_validate({**settings, **changes})
 
 
 class ProxyFixture:
@@ -94,32 +94,32 @@
     async def connect_client(self) -> Stream:
         return await self.net.connect(self.proxy.config.listen)
 
-    async def send_and_read(self, data: bytes, within: float = 5.0) -> bytes:
+    async def send_and_read(self, data: bytes, timeout: float = 5.0) -> bytes:
         """Send `data`, and all that comes back until the connection ends or falls silent."""
         stream = await self.connect_client()
         await stream.send(data)
-        return await self.read_to_end(stream, within)
+        return await self.read_to_end(stream, timeout)
 
-    async def read_to_end(self, stream: Stream, within: float = 5.0) -> bytes:
-        got = b""
-        with anyio.move_on_after(within):
+    async def read_to_end(self, stream: Stream, timeout: float = 5.0) -> bytes:
+        response = b""
+        with anyio.move_on_after(timeout):
             try:
                 while True:
-                    got += await stream.receive()
+                    response += await stream.receive()
             except STREAM_ERRORS:
                 pass
         await stream.aclose()
-        return got
+        return response
 
 
-async def serve_watch(stream: Stream, *told: dict[str, Any]) -> None:
+async def serve_watch(stream: Stream, *messages: dict[str, Any]) -> None:
     """A watch: the head, then each message as a chunk; stays open."""
     await stream.receive()
-    out = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
-    for message in told:
+    chunks = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
+    for message in messages:
         line = msgspec.json.encode({"v": 1, **message}) + b"\n"
-        out += b"%x\r\n%s\r\n" % (len(line), line)
-    await stream.send(out)
+        chunks += b"%x\r\n%s\r\n" % (len(line), line)
+    await stream.send(chunks)
     await anyio.sleep_forever()
 
 
@@ -128,7 +128,7 @@
     net: Net, scripts: dict[str, ServerScript], **changes: Any
 ) -> AsyncIterator[ProxyFixture]:
     """An umpire that knows one box for each script, by name of its port."""
-    boxes = [
+    servers = [
         {
             "box": f"{HOST}:{port}",
             "zone": "a",
@@ -142,10 +142,10 @@
         for port in scripts
     ]
 
-    async def roster(stream: Stream) -> None:
-        await serve_watch(stream, {"kind": "full", "index": 1, "boxes": boxes})
+    async def serve_discovery(stream: Stream) -> None:
+        await serve_watch(stream, {"kind": "full", "index": 1, "boxes": servers})
 
-    async def launcher(stream: Stream) -> None:
+    async def serve_release_controller(stream: Stream) -> None:
         await serve_watch(stream, {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}})
 
     async with anyio.create_task_group() as tasks:
@@ -155,43 +155,43 @@
             tasks.start_soon(net.serve, address, script, started)
             await started.wait()
 
-        await serve(f"{HOST}:7001", roster)
-        await serve(f"{HOST}:7002", launcher)
+        await serve(f"{HOST}:7001", serve_discovery)
+        await serve(f"{HOST}:7002", serve_release_controller)
         async with ProxyInstance(make_proxy_config(**changes), net=net) as proxy:
-            made = ProxyFixture(net, proxy)
-            ended = proxy.runtime.router.attempt_ended
+            fixture = ProxyFixture(net, proxy)
+            original_attempt_ended = proxy.runtime.router.attempt_ended
 
-            def note(req: Any, number: int, outcome: Any, latency: float, final: bool) -> None:
-                made.outcomes.append(outcome.value)
-                ended(req, number, outcome, latency, final)
+            def record_outcome(request: Any, number: int, outcome: Any, latency: float, final: bool) -> None:
+                fixture.outcomes.append(outcome.value)
+                original_attempt_ended(request, number, outcome, latency, final)
 
-            proxy.runtime.router.attempt_ended = note  # type: ignore[method-assign]
+            proxy.runtime.router.attempt_ended = record_outcome  # type: ignore[method-assign]
             for port, script in scripts.items():
 
-                async def noted(stream: Stream, port: str = port, script: ServerScript = script) -> None:
+                async def run_script(stream: Stream, port: str = port, script: ServerScript = script) -> None:
                     try:
-                        await script(Noting(stream, port, made))
+                        await script(RecordingStream(stream, port, fixture))
                     except STREAM_ERRORS:
                         pass
                     await anyio.aclose_forcefully(stream)
 
                 if script is not connection_refused:
-                    await serve(f"{HOST}:{port}", noted)
+                    await serve(f"{HOST}:{port}", run_script)
             with anyio.fail_after(5):
                 await proxy.listening.wait()
-            yield made
+            yield fixture
         tasks.cancel_scope.cancel()
 
 
-class Noting(Stream):
+class RecordingStream(Stream):
     """A box's end of a connection that notes what it reads."""
 
-    def __init__(self, inner: Stream, port: str, made: ProxyFixture) -> None:
-        self.inner, self.port, self.made = inner, port, made
+    def __init__(self, inner: Stream, port: str, fixture: ProxyFixture) -> None:
+        self.inner, self.port, self.fixture = inner, port, fixture
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
         data = await self.inner.receive(max_bytes)
-        self.made.received.append((self.port, data))
+        self.fixture.received.append((self.port, data))
         return data
 
     async def send(self, item: bytes) -> None:
@@ -215,10 +215,10 @@
     """Stands for a box that nobody runs."""
 
 
-def run_with_net(virtual: bool, scene: Callable[[Net], Awaitable[None]]) -> None:
+def run_with_net(virtual: bool, scenario: Callable[[Net], Awaitable[None]]) -> None:
     """Run a scene in memory and virtual time, or on sockets."""
     if virtual:
         clock = trio.testing.MockClock(autojump_threshold=0)
-        anyio.run(scene, MemoryNet(), backend="trio", backend_options={"clock": clock})
+        anyio.run(scenario, MemoryNet(), backend="trio", backend_options={"clock": clock})
     else:
-        anyio.run(scene, TcpNet(), backend="asyncio")
+        anyio.run(scenario, TcpNet(), backend="asyncio")
--- a/tests/support/stopped_reader.py
+++ b/tests/support/stopped_reader.py
@@ -10,25 +10,25 @@
 from gullmount.proxy.event_loop_stalls import EventLoopStalls
 
 DEADLINE_SECONDS = 0.5
-DECIDES_AFTER_SECONDS = 0.2
+DECISION_DELAY_SECONDS = 0.2
 
 
-async def read(host: str, port: int, how: str) -> None:
+async def read(host: str, port: int, mode: str) -> None:
     """Print `ready`, then what came, or `timeout`, and `decided` when a decision due meanwhile is made."""
     errors = HandlerErrors(lambda event, **fields: None)
     async with anyio.create_task_group() as tasks:
         stalls = EventLoopStalls(anyio.current_time, tasks, errors.log, errors)
         tasks.start_soon(stalls.run)
 
-        async def decide() -> None:
-            await anyio.sleep(DECIDES_AFTER_SECONDS)
+        async def print_decision() -> None:
+            await anyio.sleep(DECISION_DELAY_SECONDS)
             stalls.call_when_resumed(lambda: print("decided", flush=True))
 
-        tasks.start_soon(decide)
+        tasks.start_soon(print_decision)
         async with await anyio.connect_tcp(host, port) as stream:
             print("ready", flush=True)
             try:
-                if how == "plain":
+                if mode == "plain":
                     with anyio.fail_after(DEADLINE_SECONDS):
                         data = await stream.receive()
                 else:
@@ -36,10 +36,10 @@
                 print(data.decode(), flush=True)
             except TimeoutError:
                 print("timeout", flush=True)
-        await anyio.sleep(2 * DECIDES_AFTER_SECONDS)
+        await anyio.sleep(2 * DECISION_DELAY_SECONDS)
         tasks.cancel_scope.cancel()
 
 
 if __name__ == "__main__":
-    host, port, how = sys.argv[1:]
-    anyio.run(read, host, int(port), how, backend_options={"use_uvloop": True})
+    host, port, mode = sys.argv[1:]
+    anyio.run(read, host, int(port), mode, backend_options={"use_uvloop": True})
