--- a/gullmount/proxy/__init__.py
+++ b/gullmount/proxy/__init__.py
@@ -1,7 +1,8 @@
-"""One proxy instance on a network: serves HTTP requests and does what the router decides.
+"""Serves HTTP requests as one proxy instance and carries out the decisions of its router.
 
-Use it as a library: `async with ProxyInstance(config, net=..., seed=...)`. Two in one process share nothing.
-Names are loaded when they are first used: `gullmount.platform` has no memory to spare for what reads YAML.
+To use it as a library, write `async with ProxyInstance(config, net=..., seed=...)`. Several instances in one
+process share no state. Public names are imported on first use, because `gullmount.platform` imports this
+package and has no memory to spare for the YAML modules.
 """
 
 from importlib import import_module
--- a/gullmount/proxy/config.py
+++ b/gullmount/proxy/config.py
@@ -1,6 +1,8 @@
-"""The YAML file of one proxy instance: fields have its keys, the other modules the terms of the field.
+"""Defines the YAML configuration file of one proxy instance.
 
-Validated once at the start; nothing reads the file later. Times are in seconds, sizes in bytes.
+Fields are named after the keys of the file; the methods that return settings translate them to the names
+that other modules use. The file is read and validated once, at the start. Times are in seconds, sizes in
+bytes.
 """
 
 from __future__ import annotations
@@ -28,17 +30,26 @@
 )
 from gullmount.yamlfile import Described
 
-AT_MOST_ONCE_SUFFIX = " once"  # ends the name of a route's variant for requests that cannot be sent twice
+# Suffix for the name of the variant of a route that serves requests which cannot be sent twice.
+AT_MOST_ONCE_SUFFIX = " once"
 
 
 def check_address(text: str) -> str:
-    """Return the address. Raises ValueError where it is none."""
+    """Return the address unchanged.
+
+    Raises:
+        ValueError: The text is not of the form `host:port`.
+    """
     parse_address(text)
     return text
 
 
 def normalize_header(text: str) -> str:
-    """Return the header's name in lower case. Raises HeaderNameError where it is none."""
+    """Return the header name in lower case.
+
+    Raises:
+        HeaderNameError: The text is not a valid header name.
+    """
     if not re.fullmatch(r"[A-Za-z0-9!#$%&'*+.^_`|~-]+", text):
         raise HeaderNameError
     return text.lower()
@@ -52,9 +63,12 @@
 
 
 class RouteMatch(Described):
-    """Which requests belong to a route; all that is given must match.
+    """Selects the requests of a route; each condition that is set must match.
 
-    `*` in the path stands for one segment or, at its end, for all that follows.
+    Attributes:
+        method: Allowed methods; empty for any.
+        path: Pattern of the path. `*` matches within one segment, or at the end everything that follows.
+        headers: Required headers with their values.
     """
 
     method: list[str] = []
@@ -62,25 +76,28 @@
     headers: dict[HeaderName, str] = {}
 
     def pattern(self) -> re.Pattern[str]:
-        """Return the pattern of matching targets, with any query."""
+        """Return a regular expression for the targets that match, with or without a query."""
         parts = self.path.split("*")
-        leading_segments = "[^/?]*".join(re.escape(part) for part in parts[:-1])
+        prefix_pattern = "[^/?]*".join(re.escape(part) for part in parts[:-1])
         if len(parts) == 1:
             return re.compile(re.escape(self.path) + r"(\?.*)?", re.ASCII | re.DOTALL)
-        pattern_text = leading_segments + "[^/?]*" if parts[-1] else leading_segments + ".*"
+        pattern_text = prefix_pattern + "[^/?]*" if parts[-1] else prefix_pattern + ".*"
         return re.compile(pattern_text + re.escape(parts[-1]) + r"(\?.*)?", re.ASCII | re.DOTALL)
 
 
 class RouteConfig(Described):
-    """A route.
+    """One route.
 
     Attributes:
-        objective: the latency objective.
-        repeats: the retry safety.
-        group: the deduplication scope.
-        dedupe_window: for which servers of the scope drop a repeat.
-        dedupe_mark: the header by which they know it; a request without it goes out once only.
-        stream: whether responses are relayed as they come.
+        name: Unique name.
+        match: Selects the requests of the route.
+        objective: Latency objective in seconds.
+        timeout: Longest timeout of a request, in seconds; a client may ask for a shorter one.
+        repeats: Retry safety.
+        group: Deduplication scope.
+        dedupe_window: Seconds for which the servers of the scope drop a repeated request.
+        dedupe_mark: Header by which they recognise it. A request without this header is sent at most once.
+        stream: Whether responses are relayed as they arrive.
     """
 
     name: Annotated[str, Field(min_length=1, max_length=100)]
@@ -95,7 +112,11 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> Self:
-        """Return the route. Raises ConfigError where its values contradict each other."""
+        """Return the route unchanged.
+
+        Raises:
+            ConfigError: Values contradict each other.
+        """
         if self.name.endswith(AT_MOST_ONCE_SUFFIX):
             raise ReservedRouteNameError(AT_MOST_ONCE_SUFFIX)
         if self.repeats is RetrySafety.DEDUPLICATED and not (self.dedupe_window and self.dedupe_mark):
@@ -105,14 +126,17 @@
         return self
 
     def route(self, name: str, retry_safety: RetrySafety, deduplication_window: float) -> Route:
-        """Return the route as the router takes it."""
+        """Return the route in the form that the router uses."""
         return Route(name, self.objective, retry_safety, self.group, deduplication_window)
 
 
 class AffinityKeyConfig(Described):
-    """Where a request's affinity key is: a header, a cookie or a segment of the path, counted from 0.
+    """Where to find a request's affinity key; the first place that has one counts.
 
-    The first one found counts.
+    Attributes:
+        header: Header with the key.
+        cookie: Cookie with the key.
+        segment: Index of the path segment with the key, from 0.
     """
 
     header: HeaderName | None = None
@@ -121,17 +145,18 @@
 
 
 class DownstreamConfig(Described):
-    """Limits on clients, and how they say for how long they wait.
+    """Limits on clients and their connections.
 
     Attributes:
-        patience_header: says it in milliseconds.
-        margin: before the client's deadline, by which the response leaves here.
-        head_most: of a request's head.
-        body_most: of a request's body.
-        body_kept: of a body that is buffered, and can be sent twice.
-        read_within: for the next bytes of a request.
-        idle: between requests of a connection.
-        write_within: for the client to take what is written.
+        patience_header: Header in which a client states its timeout, in milliseconds.
+        margin: Time before the client's deadline at which the response must be sent, in seconds.
+        head_most: Maximum size of a request's head, in bytes.
+        body_most: Maximum size of a request's body, in bytes.
+        body_kept: Maximum size of a body that is buffered and can be sent twice, in bytes.
+        connections: Maximum number of client connections.
+        read_within: Time to wait for the next bytes of a request, in seconds.
+        idle: Time that a connection may be idle between requests, in seconds.
+        write_within: Time for the client to accept written data, in seconds.
     """
 
     patience_header: HeaderName = "x-patience-ms"
@@ -146,17 +171,18 @@
 
 
 class UpstreamConfig(Described):
-    """Limits on servers.
+    """Limits on servers and their connections.
 
     Attributes:
-        cold_share: part of its capacity that a server has when it starts.
-        warm_time: until it has all of it.
-        tip_multiple: of its expected latency, from which a server counts as overloaded.
-        max_tries: attempts of one request.
-        link_idle: after which an idle connection is not used any more.
-        links: connections to one server.
-        answer_kept: of a response that is buffered; a longer one is relayed as it comes.
-        not_begun_header: by which a server says that it did not begin a request.
+        cold_share: Share of its capacity that a server has when it starts, from 0 to 1.
+        warm_time: Time from its start until it has its full capacity, in seconds.
+        tip_multiple: Multiple of its capacity at which a cold server collapses.
+        max_tries: Maximum number of attempts per request.
+        connect_within: Time to open a connection, in seconds.
+        link_idle: Idle time after which a connection is not reused, in seconds.
+        links: Maximum number of connections to one server.
+        answer_kept: Maximum size of a buffered response, in bytes. A longer one is relayed as it arrives.
+        not_begun_header: Response header by which a server states that it did not begin the request.
     """
 
     cold_share: Fraction
@@ -171,7 +197,10 @@
 
 
 class ReleaseConfig(Described):
-    """How builds are exposed and what votes bring about; `ReleaseSettings` has the field's terms."""
+    """How builds are exposed and what votes cause.
+
+    `release_settings` maps the fields to those of `ReleaseSettings`, which are documented there.
+    """
 
     caps: Annotated[list[Fraction], Field(min_length=1)]
     by_route: bool = False
@@ -188,7 +217,7 @@
     at_once: PositiveInt = 1
 
     def release_settings(self) -> ReleaseSettings:
-        """Return the same in the terms of the decisions."""
+        """Return these settings in the form that the router uses."""
         return ReleaseSettings(
             exposure_limits=self.caps,
             counted_by_route=self.by_route,
@@ -207,36 +236,46 @@
 
 
 class DiscoveryConfig(Described):
-    """Where discovery is: `push` is watched from the start, `ask` when the router asks."""
+    """Address of discovery, and when it is watched: `push` from the start, `ask` at the router's request."""
 
     address: Address
     how: Literal["push", "ask"] = "push"
 
 
 class ReleaseControllerConfig(Described):
-    """Where the release controller is, and within which time it answers a vote."""
+    """Address of the release controller and its response timeout for votes, in seconds."""
 
     address: Address
     answer_within: PositiveFloat = 2.0
 
 
 class PeerConfig(Described):
-    """Where this instance receives gossip, and where all do, by number."""
+    """Address at which this instance receives gossip, and the addresses of all instances by number."""
 
     listen: Address
     addresses: dict[NonNegativeInt, Address]
 
 
 class ProxyConfig(Described):
-    """The whole file.
+    """The configuration file.
 
     Attributes:
-        number: of this instance, from 0.
-        of: how many instances there are.
-        connect_from: the host that connections come from, where the machine has several.
-        remembered: path of the file that outlives the process.
-        key: where a request's affinity key is.
-        max_retry_after: highest Retry-After of a rejected request; 0 for none.
+        number: Number of this instance, from 0.
+        of: Number of instances.
+        zone: Zone in which this instance runs.
+        listen: Address at which clients are accepted.
+        connect_from: Host address that outgoing connections use, on machines that have several.
+        seed: Seed of all random numbers; random by default.
+        remembered: Path of the file that keeps state across restarts; by default nothing is kept.
+        roster: Address of discovery and when it is watched.
+        launcher: Address of the release controller and its response timeout.
+        peers: Gossip with the other instances; off by default.
+        routes: The routes; the first one that matches a request counts.
+        key: Where to find a request's affinity key.
+        clients: Limits on clients.
+        boxes: Limits on servers.
+        releases: How builds are released.
+        max_retry_after: Longest Retry-After of a rejected request, in seconds; 0 for none.
     """
 
     number: NonNegativeInt
@@ -258,7 +297,11 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> Self:
-        """Return the configuration. Raises ConfigError where its values contradict each other."""
+        """Return the configuration unchanged.
+
+        Raises:
+            ConfigError: Values contradict each other.
+        """
         names = [route.name for route in self.routes]
         duplicates = sorted({name for name in names if names.count(name) > 1})
         if duplicates:
@@ -268,9 +311,13 @@
         return self
 
     def instance_settings(self, seed: int, restarted: bool) -> InstanceSettings:
-        """Return the same as the router takes it.
+        """Return these settings in the form that the router uses.
+
+        Each route gets a second variant for requests that are sent at most once.
 
-        Each route has a variant for requests that go out once only.
+        Args:
+            seed: Seed of the router's random numbers.
+            restarted: Whether attempts of an earlier process may still count for the exposure limit.
         """
         routes: dict[str, Route] = {}
         for config in self.routes:
--- a/gullmount/proxy/errors.py
+++ b/gullmount/proxy/errors.py
@@ -1,6 +1,6 @@
-"""The proxy's errors in configuration files and in messages of other services.
+"""Errors in configuration files and in messages of other services.
 
-`http1.py` has those of HTTP peers. Each makes its text from its fields.
+Errors of HTTP clients and servers are in `http1.py`. Each class builds its message from its arguments.
 """
 
 from __future__ import annotations
@@ -12,56 +12,58 @@
 
 
 class ConfigError(GullmountError, ValueError):
-    """A value of the configuration file is unusable: the operator's error."""
+    """The operator configured a value that cannot be used."""
 
 
 class HeaderNameError(ConfigError):
-    """A configured header cannot be the name of one."""
+    """The operator configured an invalid header name."""
 
     def __init__(self) -> None:
-        super().__init__("not the name of a header")
+        super().__init__("not a valid header name")
 
 
 class ReservedRouteNameError(ConfigError):
-    """A route's name ends like that of an internal variant."""
+    """The operator named a route with the suffix that is reserved for internal variants."""
 
     def __init__(self, suffix: str) -> None:
-        super().__init__(f"a route's name may not end with {suffix!r}")
+        super().__init__(f"the name of a route must not end with {suffix!r}")
 
 
 class DeduplicationUnconfiguredError(ConfigError):
-    """A deduplicated route lacks its window or its header."""
+    """The operator configured a deduplicated route without its window or its header."""
 
     def __init__(self) -> None:
-        super().__init__("a deduped route needs dedupe_window and dedupe_mark")
+        super().__init__("a route with repeats: deduped requires dedupe_window and dedupe_mark")
 
 
 class LatencyObjectiveError(ConfigError):
-    """A route's latency objective is longer than its timeout."""
+    """The operator configured a latency objective that is longer than the route's timeout."""
 
     def __init__(self) -> None:
-        super().__init__("the latency objective is longer than the route timeout")
+        super().__init__("objective must not be longer than timeout")
 
 
 class DuplicateRouteError(ConfigError):
-    """Routes share a name."""
+    """The operator gave several routes the same name."""
 
     def __init__(self, names: Sequence[str]) -> None:
-        super().__init__(f"routes named twice: {', '.join(names)}")
+        super().__init__(f"duplicate route names: {', '.join(names)}")
 
 
 class InstanceNumberError(ConfigError):
-    """The instance's number is not below the number of instances."""
+    """The operator configured an instance number that is not below the number of instances."""
 
     def __init__(self, number: int, count: int) -> None:
-        super().__init__(f"number is {number}, but there are {count}, counted from 0")
+        super().__init__(
+            f"number is {number}, but must be at least 0 and less than {count}, the number of instances"
+        )
 
 
 class UnknownMessageError(InvalidMessageError):
     """The release controller sent neither a status nor metrics."""
 
     def __init__(self) -> None:
-        super().__init__("neither news nor tally")
+        super().__init__("the message has neither news nor tally")
 
 
 class ReleaseStatusRangeError(InvalidMessageError):
@@ -72,18 +74,18 @@
 
 
 class PeerMessageSizeError(InvalidMessageError):
-    """A peer's datagram is longer than allowed."""
+    """A peer sent a datagram that is longer than allowed."""
 
     def __init__(self) -> None:
-        super().__init__("too long")
+        super().__init__("the datagram is too long")
 
 
 class PeerAddressError(InvalidMessageError):
-    """A datagram names a peer that does not have the address it came from."""
+    """A datagram came from an address other than that of the peer it names as its sender."""
 
     def __init__(self) -> None:
-        super().__init__("not from that peer's address")
+        super().__init__("the source address does not belong to the peer in field from")
 
 
 class VoteRefusedError(StatusError):
-    """The release controller refused a vote."""
+    """The release controller responded to a vote with a status other than 200."""
--- a/gullmount/proxy/log_events.py
+++ b/gullmount/proxy/log_events.py
@@ -1,4 +1,4 @@
-"""The events that a proxy instance logs. Their values are stable: operators and alerts search for them."""
+"""Names of the events that a proxy instance logs. Operators and alerts search for them: keep them stable."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LogEvent(StrEnum):
-    """One event each; docs/on-call.md says what to do about it."""
+    """Log events; docs/on-call.md describes how to respond to each."""
 
     CACHED_ENDPOINT_INVALID = "cached_endpoint_invalid"
     CACHED_RELEASE_INVALID = "cached_release_invalid"
@@ -19,7 +19,8 @@
     LISTENING = "listening"
     PEER_MESSAGE_INVALID = "peer_message_invalid"
     PEER_UNREACHABLE = "peer_unreachable"
-    RELEASE_ATTRIBUTION = "blame"  # the name that recorded scenarios have
+    # Recorded scenarios contain this value.
+    RELEASE_ATTRIBUTION = "blame"
     RELEASE_STATUS_INVALID = "release_status_invalid"
     RELEASE_WATCH_ENDED = "release_watch_ended"
     REQUEST_NOT_ACCEPTED = "request_not_accepted"
--- a/tests/proxy/test_errors.py
+++ b/tests/proxy/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the proxy: one root, texts made of their fields, and the peer at fault."""
+"""Tests that the proxy's errors have one base class, state their fields and name the peer at fault."""
 
 from __future__ import annotations
 
@@ -24,8 +24,11 @@
 @pytest.mark.parametrize(
     ("error", "text"),
     [
-        (DuplicateRouteError(["a", "b"]), "routes named twice: a, b"),
-        (InstanceNumberError(3, 2), "number is 3, but there are 2, counted from 0"),
+        (DuplicateRouteError(["a", "b"]), "duplicate route names: a, b"),
+        (
+            InstanceNumberError(3, 2),
+            "number is 3, but must be at least 0 and less than 2, the number of instances",
+        ),
         (VoteRefusedError(503), "status 503"),
         (ProtocolError(408, "too slow"), "protocol error by the client: too slow"),
     ],
--- a/tests/proxy/test_log_events.py
+++ b/tests/proxy/test_log_events.py
@@ -1,4 +1,4 @@
-"""Names of log events: stable, searchable words."""
+"""Tests that the values of log events can be searched for."""
 
 from __future__ import annotations
 
