--- a/gullmount/proxy/event_loop_stalls.py
+++ b/gullmount/proxy/event_loop_stalls.py
@@ -1,13 +1,13 @@
-"""Event-loop stalls: the times in which the process did not run, and what arrived meanwhile.
+"""Detects event loop stalls and handles the data that arrived during them.
 
-A process that was stopped, swapped out or moved to another machine goes on where it was. What came for it
-waits in the kernel, and a clock that is read then says nothing of when that was. `EventLoopStalls` detects a
-stall by a heartbeat that is overdue. After one it
+A stall is a time in which the process did not run: it was stopped, swapped out or moved to another machine.
+Data that arrives meanwhile waits in the kernel, and the time at which it is read does not tell when it
+arrived. `EventLoopStalls` detects a stall by an overdue heartbeat. After a stall it does two things:
 
-- holds decisions back for some turns of the loop, until all that waited has been read: clients that left,
-  servers that drain, lower exposure limits;
-- dates what was read by its arrival, the earliest that it can have been. That goes on for a while, as the
-  loop accepts the connections that waited one at a time.
+- It defers decisions for some iterations of the loop until the waiting data has been read, such as clients
+  that disconnected, servers that drain and lower exposure limits.
+- It dates the data by the earliest time at which it can have arrived. This lasts longer than the deferral,
+  because the loop accepts waiting connections one at a time.
 """
 
 from __future__ import annotations
@@ -24,33 +24,36 @@
 from gullmount.proxy.log_events import LogEvent
 
 HEARTBEAT_SECONDS = 0.04
-STALL_THRESHOLD_SECONDS = 0.08  # without a heartbeat; a client's end must be seen within 0.1 s
+# A missing heartbeat counts as a stall after this time. A client's disconnect must be seen within 0.1 s.
+STALL_THRESHOLD_SECONDS = 0.08
+# Longer stalls are logged.
 LOGGED_STALL_THRESHOLD_SECONDS = 0.25
-RESUME_LOOP_ITERATIONS = (
-    12  # of the loop: to accept a connection, read it, and wake the task that waits for the bytes
-)
-RECENT_STALL_SECONDS = 2.0  # after a stall, in which connections may still be accepted that came during it
-LATE_RECEIVE_TIMEOUT_SECONDS = 0.02  # for what came during a stall in which its deadline passed
-KERNEL_TIMESTAMP_RESOLUTION_SECONDS = 0.01  # to which the kernel knows when data came
+# Enough to accept a connection, read from it and wake the task that waits for the bytes.
+RESUME_LOOP_ITERATIONS = 12
+# For this long after a stall, the loop may still accept connections that were opened during it.
+RECENT_STALL_SECONDS = 2.0
+# Extra time to read data that arrived during a stall in which the deadline passed.
+LATE_RECEIVE_TIMEOUT_SECONDS = 0.02
+# Precision of the kernel's record of when data arrived.
+KERNEL_TIMESTAMP_RESOLUTION_SECONDS = 0.01
 
 Received = TypeVar("Received")
 LogFunction = Callable[..., None]
+# Returns the seconds since the newest bytes of a connection arrived, or None if that is unknown.
 SecondsSinceData = Callable[[], float | None]
-"""Returns for how long the newest bytes of a connection have been there; None where nobody knows."""
 
 
 def unknown_data_age() -> float | None:
-    """Say that the network does not tell when data came."""
+    """Return None: the time of arrival is unknown."""
     return None
 
 
 class EventLoopStalls:
-    """The stalls of one process; `run` is its task.
+    """Detects the stalls of one process; `run` must run as a task.
 
     Attributes:
-        resuming: whether the loop still reads what came during a stall, and decisions wait.
-        stalled_since: when the loop last looked at its sockets before the latest stall, in seconds of
-            `clock`.
+        resuming: Whether the loop is still reading the data of a stall, so that decisions are deferred.
+        stalled_since: When the loop last polled its sockets before the latest stall, in seconds of `clock`.
     """
 
     def __init__(
@@ -71,7 +74,7 @@
         self._deferred_callbacks: deque[Callable[[], None]] = deque()
 
     async def run(self) -> None:
-        """Beat until cancelled."""
+        """Record a heartbeat at each interval, until cancelled."""
         self.heartbeat_at = self.previous_heartbeat_at = self.clock()
         while True:
             await anyio.sleep(HEARTBEAT_SECONDS)
@@ -79,7 +82,7 @@
             self.previous_heartbeat_at, self.heartbeat_at = self.heartbeat_at, now
 
     def check_for_stall(self) -> float:
-        """Return the time; begin to resume where the process has not run for a while."""
+        """Return the current time, and start resuming if the heartbeat is overdue."""
         now = self.clock()
         if now - self.heartbeat_at > STALL_THRESHOLD_SECONDS:
             self._start_resuming(now)
@@ -87,13 +90,13 @@
 
     @property
     def stalled_recently(self) -> bool:
-        """Whether what is being read may have arrived during a stall."""
+        """Whether data that is read now may have arrived during a stall."""
         return self.check_for_stall() < self.stalled_recently_until
 
     def arrival_time(self, seconds_since_data: SecondsSinceData = unknown_data_age) -> float:
-        """Return the earliest time at which what is being read can have arrived.
+        """Return the earliest time at which data that is read now can have arrived.
 
-        Without a recent stall that is the present. `seconds_since_data` is asked only after one.
+        Without a recent stall that is the current time, and `seconds_since_data` is not called.
         """
         now = self.check_for_stall()
         if now >= self.stalled_recently_until:
@@ -104,7 +107,10 @@
         return self.stalled_since if self.resuming else now
 
     def call_when_resumed(self, callback: Callable[[], None]) -> None:
-        """Call at once, or in the order of these calls once the loop has read what came during a stall."""
+        """Call `callback` at once, or after a stall once the loop has read the data that arrived during it.
+
+        Deferred callbacks are called in the order in which they were passed.
+        """
         self.check_for_stall()
         if self.resuming:
             self._deferred_callbacks.append(callback)
@@ -112,16 +118,20 @@
             callback()
 
     async def wait_until_resumed(self) -> None:
-        """Return at once, or once the loop has read what came during a stall."""
+        """Return at once, or after a stall once the loop has read the data that arrived during it."""
         self.check_for_stall()
         while self.resuming:
             await self._resumed.wait()
 
     async def receive_within(self, seconds: float, receive: Callable[[], Awaitable[Received]]) -> Received:
-        """Await `receive` for so long; after a stall what came during it is in time. Raises TimeoutError.
+        """Await `receive` for `seconds`, and accept data that arrived during a stall as in time.
+
+        After a stall the event loop handles expired deadlines before it polls the sockets, so `receive` is
+        awaited a second time. This does not wait until the loop has resumed: the data must be processed
+        before the deferred decisions.
 
-        A deadline that passes during a stall is noticed before the sockets are looked at. What is read then
-        counts before the decisions that are held back, so that nothing is waited for here.
+        Raises:
+            TimeoutError: Nothing was received in time.
         """
         try:
             with anyio.fail_after(seconds):
@@ -138,7 +148,7 @@
             self.log(LogEvent.EVENT_LOOP_STALLED, seconds=round(stalled_seconds, 3))
         if not self.resuming:
             self.resuming = True
-            # Not the last heartbeat: the loop may not have looked at its sockets just before it.
+            # The loop may not have polled its sockets just before the last heartbeat, so use the one before.
             self.stalled_since = self.previous_heartbeat_at
             self.task_group.start_soon(self._resume)
         self.heartbeat_at = now
@@ -153,10 +163,10 @@
         self._run_deferred_callbacks()
 
     def _run_deferred_callbacks(self) -> None:
-        """Call in order; a stall meanwhile holds the rest back again."""
+        """Run the deferred callbacks in order; a further stall defers the remaining ones again."""
         while self._deferred_callbacks:
             self.check_for_stall()
             if self.resuming:
                 return
-            with self.handler_errors.contained("event after a stall"):
+            with self.handler_errors.contained("deferred callback after a stall"):
                 self._deferred_callbacks.popleft()()
--- a/gullmount/proxy/runtime.py
+++ b/gullmount/proxy/runtime.py
@@ -1,7 +1,9 @@
-"""The runtime of one router: sockets and timers in, what the router asks for out. Decides nothing.
+"""Connects a router to the network: reports events to it and carries out what it decides.
 
-`StreamingRuntime` relays what is too large to be buffered, in a task per attempt; `BufferedRuntime` works by
-callbacks, for adapters whose messages are buffered whole.
+The runtime makes no routing decisions itself. There are two implementations:
+
+- `StreamingRuntime` runs a task per attempt and relays messages that are too large to buffer.
+- `BufferedRuntime` uses callbacks and serves adapters that buffer every message whole.
 """
 
 from __future__ import annotations
@@ -29,31 +31,32 @@
 from gullmount.proxy.timers import Timers
 
 GATEWAY_TIMEOUT = 504
-CLOCK_OFFSET_SECONDS = 1e6  # so that a server of unknown start time, 0, is older than any warm-up
+# Added to the clock so that an unknown start time, stored as 0, lies further back than any warm-up time.
+CLOCK_OFFSET_SECONDS = 1e6
 
+# Arguments: the event, then its fields as keywords.
 LogFunction = Callable[..., None]
-"""Called with an event and its fields by name."""
+# Arguments: build, stage, vote.
 VoteCallback = Callable[[int, int, Vote], None]
-"""Takes build, stage and vote."""
+# Arguments: number of the peer, build, stage, vote.
 GossipVoteCallback = Callable[[int, int, int, Vote], None]
-"""Takes peer, build, stage and vote."""
 
 
 def read_clock() -> float:
-    """Return the event loop's time in seconds, which is virtual where the loop's is."""
+    """Return the event loop's time plus `CLOCK_OFFSET_SECONDS`; it is virtual if the loop's clock is."""
     return anyio.current_time() + CLOCK_OFFSET_SECONDS
 
 
 class ProxyRuntime:
-    """What both runtimes share of `gullmount.decisions.runtime.Runtime`; lives as long as the instance.
+    """Base of both runtimes; implements `gullmount.decisions.runtime.Runtime` for one instance.
 
     Attributes:
-        shutting_down: responses end their connections.
-        refuses_requests: no connection is served any more.
-        random: jitter of the clients of other services; the router has its own.
-        stalls: when the event loop did not run.
-        handler_errors: what went wrong unexpectedly while a peer was served.
-        watch_requested: the router asked for endpoints before there was a client to ask.
+        shutting_down: Whether each response ends its connection.
+        refuses_requests: Whether new connections are no longer served.
+        random: Source of jitter for the clients of other services. The router has its own.
+        stalls: Detects the times in which the event loop did not run.
+        handler_errors: Contains and logs unexpected exceptions of connection and message handlers.
+        watch_requested: Whether the router asked for endpoints before `on_watch_endpoints` was set.
     """
 
     def __init__(
@@ -88,33 +91,33 @@
     # Called by the router.
 
     def now(self) -> float:
-        """Return the time in seconds."""
+        """Return the current time in seconds."""
         return read_clock()
 
     def forward(self, request_id: str, server_id: str, timeout: float) -> None:
-        """Send the request to the server, for `timeout` seconds at most."""
+        """Start an attempt at the server that may take `timeout` seconds."""
         exchange = self.exchanges[request_id]
         number = exchange.begin_attempt(server_id)
         self.start_attempt(exchange, number, server_id, timeout)
 
     def start_attempt(self, exchange: RequestExchange, number: int, server_id: str, timeout: float) -> None:
-        """Start attempt `number`; its end is reported later to `attempt_ended`."""
+        """Start attempt `number`; its end is reported to `attempt_ended`."""
         raise NotImplementedError
 
     def reject(self, request_id: str, retry_after: float) -> None:
-        """Answer that the request was not served and may be sent again in `retry_after` seconds."""
+        """Respond that the request was not served and may be sent again in `retry_after` seconds."""
         exchange = self.exchanges[request_id]
         self.record_unserved(exchange, RequestEnd.REJECTED)
         exchange.settle(self.adapter.rejection_response(retry_after))
 
     def fail(self, request_id: str) -> None:
-        """Answer that the request failed and may have run."""
+        """Respond that the request failed and may have been executed."""
         exchange = self.exchanges[request_id]
         self.record_unserved(exchange, RequestEnd.FAILED)
         exchange.settle(exchange.failure_response or self.adapter.failure_response(BAD_GATEWAY))
 
     def record_unserved(self, exchange: RequestExchange, end: RequestEnd) -> None:
-        """Count a request that is given up, and log why, with its attempts."""
+        """Count a request that was not served and log the reason and the attempts."""
         reason = self.router.rejection_reason
         self.counters.requests[end] += 1
         self.counters.rejections[reason] += 1
@@ -132,28 +135,28 @@
         raise NotImplementedError
 
     def vote(self, build: int, stage: int, vote: Vote) -> None:
-        """Send a vote to the release controller."""
+        """Send a vote to the release controller, if there is a client for it."""
         if self.on_vote is not None:
             self.on_vote(build, stage, vote)
 
     def gossip_vote(self, peer: int, build: int, stage: int, vote: Vote) -> None:
-        """Send a vote to a peer."""
+        """Send a vote to a peer, if there is gossip."""
         if self.on_gossip_vote is not None:
             self.on_gossip_vote(peer, build, stage, vote)
 
     def watch_endpoints(self) -> None:
-        """Ask discovery for the endpoints."""
+        """Ask discovery for the endpoints, or record the request until there is a client."""
         if self.on_watch_endpoints is not None:
             self.on_watch_endpoints()
         else:
             self.watch_requested = True
 
     def log(self, text: str) -> None:
-        """Log what the canary analysis has found."""
+        """Log a result of the canary analysis."""
         self.log_event(LogEvent.CANARY_ANALYSIS, message=text)
 
     def log_finding(self, finding: Finding) -> None:
-        """Log which of two candidates is to blame."""
+        """Log which of two candidates an attribution finding blames."""
         self.log_event(LogEvent.RELEASE_ATTRIBUTION, **finding.log_fields())
 
     # Requests.
@@ -161,7 +164,14 @@
     def new_exchange(
         self, head: RequestHead, body: bytes, arrived_at: float, metadata: RequestMetadata
     ) -> RequestExchange:
-        """Return the exchange of a request that arrived at `arrived_at` and has not been accepted yet."""
+        """Return the exchange of a request that has not been accepted yet.
+
+        Args:
+            head: Head of the request.
+            body: Body of the request, or its first part if the rest is streamed.
+            arrived_at: Time of arrival in seconds of the runtime's clock; the timeout starts here.
+            metadata: What the adapter read from the head.
+        """
         self.request_count += 1
         request_id = f"{self.request_id_prefix}-{self.request_count}"
         deadline = arrived_at + metadata.timeout
@@ -170,9 +180,15 @@
         return exchange
 
     def accept(self, exchange: RequestExchange, metadata: RequestMetadata, at_most_once: bool) -> None:
-        """Give the request to the router; `at_most_once` if its body cannot be sent twice.
+        """Hand the request to the router.
 
-        Raises ProtocolError.
+        Args:
+            exchange: The request.
+            metadata: What the adapter read from the head.
+            at_most_once: Whether the body cannot be sent twice.
+
+        Raises:
+            ProtocolError: The adapter has seen the request id before.
         """
         self.adapter.claim_request_id(metadata)
         route = metadata.at_most_once_route if at_most_once else metadata.route
@@ -192,7 +208,15 @@
         response: Response | None,
         latency: float,
     ) -> None:
-        """An attempt ended `latency` seconds after it began."""
+        """Record the end of an attempt and report its outcome to the router.
+
+        Args:
+            exchange: The request that the attempt belongs to.
+            number: Number of the attempt within the request.
+            end: How the attempt ended at its socket.
+            response: The response, if one was read.
+            latency: Seconds from the start of the attempt to its end.
+        """
         outcome = self.adapter.outcome(end, response)
         exchange.attempts_in_flight -= 1
         record = exchange.attempt_records[number]
@@ -211,7 +235,7 @@
             self.end_exchange(exchange)
 
     def end_exchange(self, exchange: RequestExchange) -> None:
-        """The request is settled and its last attempt has ended."""
+        """Remove a request that has its response and whose last attempt has ended."""
         self.counters.requests[RequestEnd.CLIENT_LEFT] += exchange.client_left
         if self.exchanges.pop(exchange.id, None) is not None:
             self.adapter.request_ended(exchange)
@@ -219,19 +243,22 @@
             self.became_idle.set()
 
     def attempt_still_allowed(self, exchange: RequestExchange, number: int) -> bool:
-        """Whether an attempt that waited for its connection may still be sent; it counts as sent then."""
+        """Return whether an attempt that waited for its connection may still be sent.
+
+        If so, the router counts it as sent.
+        """
         assert exchange.request is not None
         return self.router.attempt_still_allowed(exchange.request, number)
 
     async def wait_until_idle(self) -> None:
-        """Wait until each accepted request has its response."""
+        """Wait until each accepted request has its response and all its attempts have ended."""
         while self.exchanges:
             self.became_idle = anyio.Event()
             await self.became_idle.wait()
 
 
 class StreamingRuntime(ProxyRuntime):
-    """A task per attempt, for an adapter that relays what is too large to be buffered."""
+    """Runs a task per attempt, for adapters that relay messages too large to buffer."""
 
     def __init__(
         self,
@@ -248,7 +275,7 @@
         task_group.start_soon(self.stalls.run)
 
     def start_attempt(self, exchange: RequestExchange, number: int, server_id: str, timeout: float) -> None:
-        """Start attempt `number`; its end is reported later to `attempt_ended`."""
+        """Start attempt `number`; its end is reported to `attempt_ended`."""
         self.task_group.start_soon(self.run_attempt, exchange, number, server_id, timeout)
 
     async def run_attempt(
@@ -275,7 +302,7 @@
 
 
 class BufferedRuntime(ProxyRuntime):
-    """Callbacks instead of tasks, for an adapter whose messages are buffered whole."""
+    """Uses callbacks instead of tasks, for adapters that buffer every message whole."""
 
     def __init__(
         self,
@@ -286,7 +313,8 @@
         log: LogFunction,
         clock: Callable[[], float] = read_clock,
     ) -> None:
-        self.now = clock  # type: ignore[method-assign]  # called a dozen times per request: no extra frame
+        # The method is replaced because it is called a dozen times per request: this saves a stack frame.
+        self.now = clock  # type: ignore[method-assign]
         self.timers = Timers(clock, self.wait_until_resumed)
         super().__init__(adapter, settings, task_group, log)
         self.upstream = BufferedUpstream(
@@ -303,11 +331,11 @@
         task_group.start_soon(self.upstream.sweep)
 
     def start_attempt(self, exchange: RequestExchange, number: int, server_id: str, timeout: float) -> None:
-        """Start attempt `number`; its end is reported later to `attempt_ended`."""
+        """Start attempt `number`; its end is reported to `attempt_ended`."""
         self.upstream.start_attempt(exchange, number, server_id, timeout)
 
     async def wait_until_resumed(self) -> None:
-        """Return at once, or once the loop has read what came during a stall."""
+        """Return at once, or after a stall once the loop has read the data that arrived during it."""
         await self.stalls.wait_until_resumed()
 
     def report_attempt_end_when_resumed(
@@ -318,7 +346,10 @@
         response: Response | None,
         latency: float,
     ) -> None:
-        """An attempt ended; what follows from it may have to wait, as its client may have left."""
+        """Report the end of an attempt, after a stall only once the loop has read the pending data.
+
+        That data may say that the client has disconnected.
+        """
         self.stalls.call_when_resumed(lambda: self.attempt_ended(exchange, number, end, response, latency))
 
     def call_after(self, delay: float, callback: Callable[[], None]) -> None:
--- a/tests/proxy/test_event_loop_stalls.py
+++ b/tests/proxy/test_event_loop_stalls.py
@@ -1,4 +1,4 @@
-"""Event-loop stalls: found by an overdue heartbeat; what was read late is dated by its arrival."""
+"""Tests that overdue heartbeats reveal stalls and that data read late is dated by its arrival."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 )
 from tests.support.paths import ROOT
 
-STALL_SECONDS = 3.0  # s
+STALL_SECONDS = 3.0
 
 
 class StallFixture:
-    """Stalls by a clock of its own, which `simulate_stall` puts forward as a stop of the process would."""
+    """Runs `EventLoopStalls` on a clock that `simulate_stall` advances as a stopped process would see it."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self.clock_offset = 0.0
@@ -45,6 +45,8 @@
 
 
 def run_with_stalls(script: Callable[[StallFixture], Awaitable[None]]) -> None:
+    """Run `script` after the first heartbeats."""
+
     async def run_script() -> None:
         async with anyio.create_task_group() as tasks:
             stall_fixture = StallFixture(tasks)
@@ -71,7 +73,7 @@
 
 
 def test_after_a_stall_arrival_time_comes_from_the_kernel_or_is_the_last_poll_before_the_stall() -> None:
-    """Guards against requests of a pause that count as of its end."""
+    """Guards against requests that arrive during a stall being dated at its end."""
 
     async def script(fixture: StallFixture) -> None:
         started_at = fixture.now()
@@ -88,7 +90,7 @@
 
 
 def test_callbacks_are_deferred_in_order_until_data_of_the_stall_has_been_read() -> None:
-    """Guards against an attempt that begins before its client's end, or a drain, has been read."""
+    """Guards against starting an attempt before a client's disconnect or a server's drain has been read."""
 
     async def script(fixture: StallFixture) -> None:
         order: list[str] = []
@@ -133,7 +135,10 @@
 
 
 def output_of_stopped_process(mode: str) -> list[str]:
-    """What a process prints whose read's deadline passes while it is stopped; the bytes come meanwhile."""
+    """Return the words that a process prints whose read deadline passes while it is stopped.
+
+    The data that it waits for arrives while it is stopped.
+    """
     with socket.create_server(("127.0.0.1", 0)) as listener:
         host, port = listener.getsockname()
         command = [sys.executable, "-m", "tests.support.stopped_reader", host, str(port), mode]
@@ -155,10 +160,10 @@
     ("mode", "lines"), [("stalls", ["drain", "decided"]), ("plain", ["timeout", "decided"])]
 )
 def test_data_received_during_a_stall_is_returned_after_its_deadline(mode: str, lines: list[str]) -> None:
-    """Guards against an answer of discovery that lies in the kernel and is given up as too late: a drain.
+    """Guards against losing a response of discovery, such as a drain, that arrived during a stall.
 
-    It is read before decisions are fixture. `plain` shows what is guarded against: the event loop notices the
-    deadline before it looks at the socket.
+    It waits in the kernel while its deadline passes, and must be read before decisions are made. The mode
+    `plain` shows the failure: the event loop handles the deadline before it polls the socket.
     """
     assert output_of_stopped_process(mode) == lines
 
--- a/tests/support/stopped_reader.py
+++ b/tests/support/stopped_reader.py
@@ -1,4 +1,7 @@
-"""Reads from a socket while its process is stopped, by one of two ways."""
+"""Program that reads from a socket while its process is stopped, in one of two modes.
+
+`plain` reads with a deadline alone; any other mode reads through `EventLoopStalls.receive_within`.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 
 async def read(host: str, port: int, mode: str) -> None:
-    """Print `ready`, then what came, or `timeout`, and `decided` when a decision due meanwhile is made."""
+    """Print `ready`, then the received data or `timeout`, and `decided` for a decision that fell due."""
     errors = HandlerErrors(lambda event, **fields: None)
     async with anyio.create_task_group() as tasks:
         stalls = EventLoopStalls(anyio.current_time, tasks, errors.log, errors)
