--- a/gullmount/proxy/cached_state.py
+++ b/gullmount/proxy/cached_state.py
@@ -1,4 +1,4 @@
-"""What an instance remembers across restarts: its endpoints and the releases' status, as they are on disk."""
+"""Caches endpoints and release statuses across restarts, and defines their format on disk."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 from gullmount.proxy.release_controller_client import ReleaseStatus
 from gullmount.rpc import MESSAGE_VERSION, check_fields, decode_message
 
-MAX_CACHED_RELEASES = 3  # the newest builds: two candidates and the one released last
+# The newest builds are kept: two candidates and the build released last.
+MAX_CACHED_RELEASES = 3
 
 
 class CachedEndpoint(EndpointMessage, kw_only=True):
-    """An endpoint with the wall-clock time of its start, in seconds; None where that is unknown."""
+    """An endpoint on disk; `since` is its start in wall-clock seconds, None if unknown."""
 
     since: float | None = None
 
 
 class StateFile(msgspec.Struct):
-    """What is on disk, in the order of the keys."""
+    """Content of the state file; the fields are written in this order."""
 
     version: int = msgspec.field(name="v")
     endpoints: list[CachedEndpoint] = msgspec.field(name="boxes")
@@ -30,14 +31,17 @@
 
 
 class SavedState(msgspec.Struct):
-    """What was read from disk; each entry is still to be checked, so that one bad entry costs only itself."""
+    """State read from disk with its entries not yet validated.
+
+    Each entry is validated by itself, so that an invalid one does not invalidate the others.
+    """
 
     endpoints: list[Any]
     releases: list[Any]
 
 
 def to_cached_endpoint(message: EndpointMessage, since: float | None) -> CachedEndpoint:
-    """Return the endpoint with the time of its start."""
+    """Return the endpoint with its start in wall-clock seconds, None if unknown."""
     return CachedEndpoint(
         server_id=message.server_id,
         zone=message.zone,
@@ -52,16 +56,21 @@
 
 
 def decode_state(data: bytes) -> SavedState:
-    """Decode a file. Raises NotUnderstood."""
+    """Decode a state file without validating its entries.
+
+    Raises:
+        InvalidMessageError: The data is not a state file.
+    """
     fields = check_fields(decode_message(data), {"boxes": list})
     releases = fields.get("news") or []
     if not isinstance(releases, list):
-        releases = [releases]  # versions with one candidate at a time saved one status
+        # Earlier versions, which allowed one candidate at a time, saved a single status.
+        releases = [releases]
     return SavedState(fields["boxes"], releases)
 
 
 class CachedState:
-    """The endpoints by server, and the newest releases by build."""
+    """The endpoints by server id and the newest release statuses by build."""
 
     def __init__(self) -> None:
         self.endpoints: dict[str, CachedEndpoint] = {}
@@ -70,7 +79,13 @@
     def update_endpoints(
         self, messages: Sequence[EndpointMessage], is_snapshot: bool, wall_time: float
     ) -> None:
-        """Remember endpoints that discovery has just sent."""
+        """Apply endpoints that discovery has just sent.
+
+        Args:
+            messages: The endpoints.
+            is_snapshot: Whether they replace all cached endpoints.
+            wall_time: Current wall-clock time in seconds.
+        """
         if is_snapshot:
             self.endpoints = {}
         for message in messages:
@@ -81,7 +96,7 @@
                 self.endpoints[message.server_id] = to_cached_endpoint(message, since)
 
     def update_release(self, status: ReleaseStatus) -> bool:
-        """Remember a release's status; return whether it is new."""
+        """Cache a release status; return whether it differs from the cached one."""
         if status == self.releases.get(status.build):
             return False
         self.releases[status.build] = status
@@ -90,6 +105,6 @@
         return True
 
     def encode(self) -> bytes:
-        """Return the file's text."""
+        """Return the content of the state file."""
         endpoints, releases = list(self.endpoints.values()), list(self.releases.values())
         return msgspec.json.encode(StateFile(MESSAGE_VERSION, endpoints, releases))
--- a/gullmount/proxy/discovery_client.py
+++ b/gullmount/proxy/discovery_client.py
@@ -1,6 +1,6 @@
-"""Watches the endpoint list of discovery; the format stands in docs/protocols.md.
+"""Watches the endpoint list of discovery; docs/protocols.md describes the format.
 
-A message that is invalid ends its watch, and the endpoints in hand stay.
+An invalid message ends the watch. The endpoints received so far stay in use.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
     """One endpoint on the wire.
 
     Attributes:
-        start: names the server's process; the same as long as the process lives.
-        age: seconds since that start.
+        start: Identifies the server's process; it stays the same as long as the process runs.
+        age: Seconds since the process started.
     """
 
     server_id: str = msgspec.field(name="box")
@@ -41,7 +41,7 @@
 
 
 class DiscoveryMessage(msgspec.Struct):
-    """All endpoints, or those that changed since the message before."""
+    """All endpoints (`full`), or those that changed since the previous message (`changes`)."""
 
     kind: Literal["full", "changes"]
     index: int
@@ -49,16 +49,19 @@
 
 
 class ServerStartTimes:
-    """When each server started, by this instance's clock.
+    """Converts the ages of servers to start times on this instance's clock.
 
-    The wire has an age; the time it gives is kept while the server names the same start.
+    A start time is computed once and kept as long as the server reports the same `start`.
+
+    Attributes:
+        reported_starts: The `start` and the start time of each server, by server id.
     """
 
     def __init__(self) -> None:
         self.reported_starts: dict[str, tuple[str, float]] = {}
 
     def started_at(self, message: EndpointMessage, now: float) -> float:
-        """Return the server's start in seconds of the clock, 0 where it is unknown."""
+        """Return the server's start time in seconds of the clock, or 0 if it is unknown."""
         started_at = 0.0
         server_id = message.server_id
         if message.start is not None and message.age is not None:
@@ -70,7 +73,7 @@
         return started_at
 
     def to_endpoint(self, message: EndpointMessage, now: float) -> Endpoint:
-        """Return the endpoint as the router takes it."""
+        """Return the endpoint in the form that the router uses."""
         return Endpoint(
             server_id=message.server_id,
             zone=message.zone,
@@ -82,12 +85,23 @@
         )
 
     def decode_endpoint(self, entry: Any, now: float) -> Endpoint:
-        """Decode one endpoint's JSON object. Raises InvalidMessageError."""
+        """Return the endpoint that a decoded JSON object describes.
+
+        Raises:
+            InvalidMessageError: The object is not an endpoint.
+        """
         return self.to_endpoint(convert(entry, EndpointMessage), now)
 
 
 class DiscoveryClient:
-    """Watches discovery; `on_update` is told each change and whether it is a snapshot."""
+    """Watches discovery and passes endpoint updates to the router.
+
+    Args:
+        runtime: The runtime of the router.
+        net: The network to connect through.
+        address: The address of discovery.
+        on_update: Called with the endpoints of each message and whether it is a snapshot.
+    """
 
     def __init__(
         self,
@@ -105,7 +119,7 @@
         self.on_update = on_update
 
     async def watch_forever(self) -> None:
-        """Watch until cancelled, opening the watch again when it breaks."""
+        """Watch until cancelled; a watch that ends is reopened after a backoff."""
         backoff = Backoff(self.runtime.random)
         while True:
             if await self.watch():
@@ -113,13 +127,16 @@
             await anyio.sleep(backoff.next_delay())
 
     def request_watch(self) -> None:
-        """The router asks for the endpoints: one watch, whose end is reported as refused."""
+        """Start one watch at the router's request, unless one is open.
+
+        When the watch ends, the router receives an update of the kind `REFUSED`.
+        """
         if not self.watching:
             self.watching = True
             self.runtime.task_group.start_soon(self.watch_once)
 
     async def watch_once(self) -> None:
-        """Watch until the watch breaks, and tell the router."""
+        """Watch until the watch ends, then report that to the router."""
         try:
             await self.watch()
         finally:
@@ -127,7 +144,7 @@
         self.runtime.router.update_endpoints(EndpointUpdateKind.REFUSED, [])
 
     async def watch(self) -> bool:
-        """Return whether any message was valid before the watch broke."""
+        """Watch until the watch ends; return whether a valid message was received."""
         received_any = False
         errors = self.runtime.handler_errors
         try:
@@ -141,11 +158,16 @@
             return received_any
         except InvalidMessageError as error:
             self.runtime.log_event(LogEvent.DISCOVERY_MESSAGE_INVALID, reason=str(error))
-        self.index = 0  # the next watch begins with a snapshot
+        # Index 0 makes the next watch begin with a snapshot.
+        self.index = 0
         return received_any
 
     def handle_message(self, line: bytes) -> None:
-        """Put one message in force. Raises InvalidMessageError, and then nothing of it is."""
+        """Apply one message.
+
+        Raises:
+            InvalidMessageError: The message is invalid; no part of it is applied.
+        """
         fields = decode_message(line)
         if fields.get("kind") == HEARTBEAT_KIND:
             return
--- a/gullmount/proxy/instance.py
+++ b/gullmount/proxy/instance.py
@@ -1,4 +1,4 @@
-"""One proxy instance: its tasks, its start from what it remembers, its graceful shutdown."""
+"""Runs one proxy instance: starts it from its saved state, owns its tasks and shuts it down gracefully."""
 
 from __future__ import annotations
 
@@ -27,19 +27,28 @@
 from gullmount.proxy.streaming_downstream import StreamingDownstream
 from gullmount.rpc import InvalidMessageError, convert
 
-SAVE_INTERVAL_SECONDS = 0.1  # endpoints that change more often are written less
+# Minimum time between two saves: changes that follow each other faster are saved together.
+SAVE_INTERVAL_SECONDS = 0.1
 
 
 def no_log(event: str, **fields: Any) -> None:
-    """Log nothing."""
+    """Discard a log event."""
 
 
 class ProxyInstance:
-    """A context manager: it listens once it knows endpoints and a release, and stops when left.
-
-    `seed` starts all randomness; `state_store` outlives the process, and so does the clock `wall`, in
-    seconds. Where the analysis of candidates is a leased job, `analysis_leased` is set and `set_leader` says
-    which instance has it; else that follows from the instance numbers.
+    """One proxy instance, used as an asynchronous context manager.
+
+    It listens once it knows endpoints and a release, and is cancelled when the context is left.
+
+    Args:
+        config: The configuration of the instance.
+        net: The network that it listens on and connects through.
+        seed: Seed of all random numbers. Defaults to the configured seed, or to a random one.
+        state_store: Keeps state across restarts. By default nothing is kept.
+        wall: Wall clock in seconds. Unlike the event loop's clock it goes on across restarts.
+        log: Called with each event and its fields.
+        analysis_leased: Whether the canary analysis runs under a lease. If so, `set_leader` names the
+            instance that analyses; otherwise that follows from the instance numbers.
     """
 
     def __init__(
@@ -91,7 +100,7 @@
         return await self.exit_stack.__aexit__(exception_type, exception, traceback)
 
     def create_components(self, restarted: bool) -> None:
-        """Make all parts and connect them."""
+        """Create the components and connect them to each other."""
         config, net = self.config, self.net
         settings = config.instance_settings(self.seed, restarted)
         self.runtime = StreamingRuntime(GenericAdapter(config), settings, net, self.task_group, self.log)
@@ -106,7 +115,7 @@
         self.runtime.on_watch_endpoints = self.discovery.request_watch
 
     def start_gossip(self, gossip: PeerGossip) -> None:
-        """Exchange votes, evidence and findings with the peers."""
+        """Exchange votes, samples and assessments with the peers through `gossip`."""
         self.runtime.on_gossip_vote = gossip.gossip_vote
         attribution = self.runtime.router.attribution
         if attribution is not None:
@@ -114,7 +123,7 @@
         self.task_group.start_soon(gossip.receive_forever)
 
     def start_tasks(self) -> None:
-        """Start all that runs as long as the instance."""
+        """Start the tasks that run as long as the instance."""
         if self.runtime.watch_requested:
             self.discovery.request_watch()
         if self.config.roster.how == "push":
@@ -125,34 +134,35 @@
         self.task_group.start_soon(self.listen)
 
     async def stop(self) -> None:
-        """Accept nothing more and wait until each accepted request has its response."""
+        """Stop accepting requests and wait until each accepted one has its response."""
         await self.listener.stop()
 
     # The leased canary analysis.
 
     def set_leader(self, instance_number: int | None, token: int, reduced_build: int = 0) -> None:
-        """Say which instance analyses two candidates from now on; see `Attribution.set_leader`."""
+        """Set the instance that analyses two candidates from now on; see `Attribution.set_leader`."""
         attribution = self.runtime.router.attribution
         if attribution is not None:
             attribution.set_leader(self.runtime.now(), instance_number, token, reduced_build)
 
     def on_traffic_reduction(self, callback: Callable[[int], None]) -> None:
-        """Set what is called when this instance would reduce a build's traffic, with 0 when that is over.
+        """Set the callback by which this instance requests to reduce a build's traffic.
 
-        `allow_traffic_reduction` answers it.
+        It is called with the build, and with 0 when the reduction is over. The reduction begins once
+        `allow_traffic_reduction` is called.
         """
         if self.runtime.router.attribution is not None:
             self.runtime.router.attribution.on_reduction_request(callback)
 
     def allow_traffic_reduction(self, build: int) -> None:
-        """Begin to reduce the build's traffic."""
+        """Start the traffic reduction that was requested for the build."""
         if self.runtime.router.attribution is not None:
             self.runtime.router.attribution.begin_traffic_reduction(self.runtime.now(), build)
 
     # Clients.
 
     async def listen(self) -> None:
-        """Listen once endpoints and a release are known."""
+        """Wait until endpoints and a release are known, then accept clients."""
         await self.endpoints_known.wait()
         await self.release_known.wait()
         self.log(LogEvent.LISTENING, address=self.config.listen)
@@ -160,7 +170,7 @@
 
     @property
     def listening(self) -> anyio.Event:
-        """Set once clients are accepted."""
+        """Event that is set once clients are accepted."""
         return self.listener.listening
 
     @property
@@ -168,22 +178,22 @@
         """The open client connections."""
         return self.listener.connections
 
-    # The state that outlives the process.
+    # State that is kept across restarts.
 
     def cache_endpoints(self, messages: Sequence[EndpointMessage], is_snapshot: bool) -> None:
-        """Remember endpoints for the next start."""
+        """Cache endpoints for the next start."""
         self.cached_state.update_endpoints(messages, is_snapshot, self.wall())
         self.endpoints_known.set()
         self.state_changed.set()
 
     def cache_release(self, status: ReleaseStatus) -> None:
-        """Remember a release's status for the next start."""
+        """Cache a release status for the next start."""
         if self.cached_state.update_release(status):
             self.state_changed.set()
         self.release_known.set()
 
     async def save_state(self) -> None:
-        """Save the state whenever it has changed, until cancelled."""
+        """Save the state after each change, until cancelled; a failed save is logged."""
         while True:
             await self.state_changed.wait()
             self.state_changed = anyio.Event()
@@ -194,7 +204,10 @@
             await anyio.sleep(SAVE_INTERVAL_SECONDS)
 
     def load_state(self) -> SavedState | None:
-        """Return what was saved before this start, if anything; unreadable text counts as an empty state."""
+        """Return the saved state, or None if nothing was saved.
+
+        A state that cannot be read or decoded is logged and counts as empty.
+        """
         try:
             data = self.state_store.load()
             return None if data is None else decode_state(data)
@@ -203,9 +216,10 @@
             return SavedState([], [])
 
     def restore_state(self, saved: SavedState) -> None:
-        """Start from the saved endpoints and releases.
+        """Apply the saved endpoints and releases.
 
-        An exposure limit that fell since then binds as soon as the release controller is heard.
+        If an exposure limit was lowered since then, the lower one applies from the release controller's
+        first message on.
         """
         now, wall_time = self.runtime.now(), self.wall()
         restored = [self.restore_endpoint(fields, now, wall_time) for fields in saved.endpoints]
@@ -220,7 +234,7 @@
                 self.log(LogEvent.CACHED_RELEASE_INVALID, reason=str(error))
 
     def restore_endpoint(self, fields: Any, now: float, wall_time: float) -> Endpoint | None:
-        """Return a saved endpoint with its age as of now; an invalid one is logged and dropped."""
+        """Return a saved endpoint with its current age, or None after logging that it is invalid."""
         try:
             cached = convert(fields, CachedEndpoint)
         except InvalidMessageError as error:
--- a/gullmount/proxy/peer_gossip.py
+++ b/gullmount/proxy/peer_gossip.py
@@ -1,6 +1,6 @@
-"""Votes, evidence and findings that instances send each other as datagrams, which may be lost.
+"""Exchanges votes, samples and assessments between instances as datagrams, which may be lost.
 
-The formats stand in docs/protocols.md. An invalid message is dropped with a line in the log.
+docs/protocols.md describes the formats. An invalid message is logged and dropped.
 """
 
 from __future__ import annotations
@@ -19,14 +19,28 @@
 from gullmount.proxy.runtime import StreamingRuntime
 from gullmount.rpc import MESSAGE_VERSION, InvalidMessageError, check_fields, convert, decode_message
 
-MAX_PEER_MESSAGE_BYTES = 1400  # passes most networks in one piece
-TYPICAL_ROW_BYTES = 110  # of one row of evidence
-MAX_REASON_CHARACTERS = 300  # of why a build is blamed
-MAX_ROW_ATTEMPTS = 1e6  # no instance makes as many in a second
+# Most networks carry a datagram of this size without fragmentation.
+MAX_PEER_MESSAGE_BYTES = 1400
+# Typical encoded size of a `SampleRow`; it determines how many rows go into one message.
+TYPICAL_ROW_BYTES = 110
+# Longer rollback reasons are truncated.
+MAX_REASON_CHARACTERS = 300
+# A row with more attempts is implausible: no instance makes as many in a second.
+MAX_ROW_ATTEMPTS = 1e6
 
 
 class AssessmentMessage(msgspec.Struct, omit_defaults=True):
-    """An `Assessment` on the wire; `about` holds build, how, zone and route of its finding."""
+    """An `Assessment` on the wire.
+
+    Attributes:
+        blamed: Builds to roll back, each with the reason.
+        clear: Builds fit for promotion, each with the stage.
+        failing: Builds that fail routes, each with the routes.
+        lessened: Build whose traffic is reduced; 0 for none.
+        cause: Cause of the finding.
+        about: Build, symptom, zone and route of the finding.
+        token: Fencing token of the leader; 0 if there is no leader.
+    """
 
     blamed: list[tuple[int, str]]
     clear: list[tuple[int, int]]
@@ -38,14 +52,14 @@
 
 
 class PeerMessage(msgspec.Struct, kw_only=True):
-    """What each message to a peer begins with; `sender` is an instance number."""
+    """Fields of every message to a peer; `sender` is the number of the sending instance."""
 
     version: int = msgspec.field(name="v")
     sender: int = msgspec.field(name="from")
 
 
 class VoteGossip(PeerMessage, kw_only=True):
-    """A vote."""
+    """A vote of the sender on a candidate."""
 
     build: int
     stage: int
@@ -53,19 +67,19 @@
 
 
 class SamplesGossip(PeerMessage, kw_only=True):
-    """What the sender saw since its last message of the kind."""
+    """Samples that the sender recorded since its last message of this kind."""
 
     rows: list[SampleRow]
 
 
 class AssessmentGossip(PeerMessage, kw_only=True):
-    """What the sender's analysis found."""
+    """Current assessment of the sender's analysis."""
 
     standing: AssessmentMessage
 
 
 def encode_assessment(assessment: Assessment) -> AssessmentMessage:
-    """Return the assessment as it goes on the wire."""
+    """Return the wire format of an assessment; long rollback reasons are truncated."""
     finding = assessment.finding
     return AssessmentMessage(
         blamed=[
@@ -82,7 +96,7 @@
 
 
 def decode_assessment(message: AssessmentMessage) -> Assessment:
-    """Return the assessment that came on the wire."""
+    """Return the assessment that a message holds."""
     return Assessment(
         Finding(message.cause, *message.about),
         dict(message.blamed),
@@ -94,7 +108,7 @@
 
 
 class PeerGossip:
-    """Sends to and receives from the peers; `addresses` are by instance number."""
+    """Sends messages to the peers and receives theirs; `addresses` maps instance numbers to addresses."""
 
     def __init__(self, runtime: StreamingRuntime, datagrams: Datagrams, addresses: Mapping[int, str]) -> None:
         self.runtime = runtime
@@ -104,7 +118,7 @@
     # Sending.
 
     def gossip_vote(self, peer: int, build: int, stage: int, vote: Vote) -> None:
-        """Send a vote in the background."""
+        """Send a vote to a peer in the background."""
         self.send_in_background(
             peer,
             VoteGossip(
@@ -117,7 +131,7 @@
         )
 
     def send_samples(self, peer: int, rows: list[SampleRow]) -> None:
-        """Send what was seen since the last time, in as many messages as it needs."""
+        """Send sample rows to a peer in the background, split into as many messages as needed."""
         rows_per_message = MAX_PEER_MESSAGE_BYTES // TYPICAL_ROW_BYTES
         for offset in range(0, len(rows), rows_per_message):
             batch = rows[offset : offset + rows_per_message]
@@ -126,7 +140,7 @@
             )
 
     def send_assessment(self, peer: int, assessment: Assessment) -> None:
-        """Send what the analysis found."""
+        """Send an assessment to a peer in the background."""
         message = encode_assessment(assessment)
         self.send_in_background(
             peer,
@@ -134,7 +148,7 @@
         )
 
     def send_in_background(self, peer: int, message: PeerMessage) -> None:
-        """Send a message to a known peer."""
+        """Start sending a message; a peer without a known address is skipped."""
         if peer in self.addresses:
             self.runtime.task_group.start_soon(self.send_message, peer, message)
 
@@ -148,10 +162,10 @@
     # Receiving.
 
     async def receive_forever(self) -> None:
-        """Receive until cancelled or the socket breaks, and close the socket.
+        """Receive messages until cancelled or until the socket fails, then close the socket.
 
-        It is closed here: unwinding it beside the task group made the group's cancellation its own context,
-        which the event loop then followed for ever.
+        The socket is closed here and not together with the task group. Otherwise the group's cancellation
+        became its own exception context, and the event loop followed that chain forever.
         """
         try:
             await self.receive_messages()
@@ -160,7 +174,7 @@
                 await self.datagrams.aclose()
 
     async def receive_messages(self) -> None:
-        """Receive until the socket breaks."""
+        """Receive messages until the socket fails."""
         while True:
             try:
                 data, source = await self.datagrams.receive()
@@ -170,14 +184,18 @@
                 self.receive_datagram(data, source)
 
     def receive_datagram(self, data: bytes, source: str) -> None:
-        """Take in a datagram; one that is no peer's message is dropped with a line in the log."""
+        """Handle a datagram; one that is not a valid message of a peer is logged and dropped."""
         try:
             self.handle_datagram(data, source)
         except InvalidMessageError as error:
             self.runtime.log_event(LogEvent.PEER_MESSAGE_INVALID, source=source, reason=str(error))
 
     def handle_datagram(self, data: bytes, source: str) -> None:
-        """Check size and sender, and hand the message to the router. Raises InvalidMessageError."""
+        """Check size and sender of a datagram, and handle its message.
+
+        Raises:
+            InvalidMessageError: The datagram is not a valid message of a peer.
+        """
         if len(data) > MAX_PEER_MESSAGE_BYTES:
             raise PeerMessageSizeError
         fields = check_fields(decode_message(data), {"from": int})
@@ -186,7 +204,11 @@
         self.handle_message(fields)
 
     def handle_message(self, fields: dict[str, Any]) -> None:
-        """Hand a peer's message to the router. Raises InvalidMessageError."""
+        """Pass a peer's samples or assessment to the attribution, or its vote to the router.
+
+        Raises:
+            InvalidMessageError: The fields do not fit the kind of message.
+        """
         attribution, now = self.runtime.router.attribution, self.runtime.now()
         arrived_at = self.runtime.stalls.arrival_time()
         if "rows" in fields and attribution is not None:
@@ -200,7 +222,7 @@
             self.runtime.router.receive_vote(vote.sender, vote.build, vote.stage, vote.vote, arrived_at)
 
     def is_plausible(self, row: SampleRow) -> bool:
-        """Whether the row is about a known server and route, and its sums can be right."""
+        """Return whether the row names a known server and route and its sums are consistent."""
         server = self.runtime.router.endpoints.servers.get(row.server_id)
         is_known = (
             server is not None
--- a/gullmount/proxy/release_controller_client.py
+++ b/gullmount/proxy/release_controller_client.py
@@ -1,7 +1,6 @@
-"""Watches the status of releases and their metrics, and sends votes; the formats stand in docs/protocols.md.
+"""Watches release statuses and metrics and sends votes; docs/protocols.md describes the formats.
 
-A status that is invalid is dropped with a line in the log. A vote without a valid answer is reported to the
-router as failed.
+An invalid status is logged and dropped. A vote without a valid response is reported to the router as failed.
 """
 
 from __future__ import annotations
@@ -34,7 +33,7 @@
 
 
 class ReleaseStatus(msgspec.Struct):
-    """The state of one build's release; `exposure_limit` is the part of the traffic it may get, 0 to 1."""
+    """Status of one build's release; `exposure_limit` is the share of traffic it may get, from 0 to 1."""
 
     build: int
     stage: int
@@ -43,7 +42,7 @@
 
 
 class MetricsMessage(msgspec.Struct):
-    """What all instances saw of a build on a route; `mean_latency` and `age` in seconds."""
+    """Metrics of a build on a route over all instances; `mean_latency` and `age` are in seconds."""
 
     build: int
     route: str
@@ -54,7 +53,7 @@
 
 
 class VoteMessage(msgspec.Struct, omit_defaults=True):
-    """One vote; `token` names the lease that it rests on, 0 for none."""
+    """One vote; `token` is the fencing token of the lease that it is based on, 0 for none."""
 
     version: int = msgspec.field(name="v")
     instance_number: int = msgspec.field(name="umpire")
@@ -65,7 +64,14 @@
 
 
 class ReleaseControllerClient:
-    """Talks to the release controller; `on_status` is told each valid status."""
+    """Watches the release controller and sends it votes.
+
+    Args:
+        runtime: The runtime of the router.
+        net: The network to connect through.
+        config: Address and response timeout of the release controller.
+        on_status: Called with each valid status.
+    """
 
     def __init__(
         self,
@@ -80,7 +86,7 @@
         self.on_status = on_status
 
     async def watch(self) -> None:
-        """Watch until cancelled, opening the watch again when it breaks."""
+        """Watch until cancelled; a watch that ends is reopened after a backoff."""
         backoff = Backoff(self.runtime.random)
         target = f"/v1/news?umpire={self.runtime.instance_number}"
         while True:
@@ -94,14 +100,18 @@
             await anyio.sleep(backoff.next_delay())
 
     def receive_line(self, line: bytes) -> None:
-        """Put one message in force; an invalid one is logged."""
+        """Apply one message of the watch; an invalid one is logged and dropped."""
         try:
             self.handle_message(line)
         except InvalidMessageError as error:
             self.runtime.log_event(LogEvent.RELEASE_STATUS_INVALID, reason=str(error))
 
     def handle_message(self, line: bytes) -> None:
-        """Put one message in force. Raises InvalidMessageError."""
+        """Apply a status or metrics; a heartbeat is ignored.
+
+        Raises:
+            InvalidMessageError: The message is invalid or of an unknown kind.
+        """
         message = decode_message(line)
         if "news" in message:
             self.apply_status(message["news"])
@@ -111,7 +121,11 @@
             raise UnknownMessageError
 
     def apply_status(self, fields: Any) -> None:
-        """Decode a release's status and put it in force. Raises InvalidMessageError."""
+        """Decode a release status and pass it to the router.
+
+        Raises:
+            InvalidMessageError: The status is invalid or out of range.
+        """
         status = convert(fields, ReleaseStatus)
         if not 0 <= status.exposure_limit <= 1 or status.stage < 0:
             raise ReleaseStatusRangeError
@@ -119,7 +133,7 @@
         self.on_status(status)
 
     def apply_metrics(self, metrics: MetricsMessage) -> None:
-        """Hand metrics of a known route to the router."""
+        """Pass metrics to the router; those of an unknown route are ignored."""
         if metrics.route in self.runtime.router.settings.routes:
             self.runtime.router.record_metrics(
                 metrics.build,
@@ -137,7 +151,10 @@
         self.runtime.task_group.start_soon(self.send_vote, build, stage, vote, token)
 
     async def send_vote(self, build: int, stage: int, vote: Vote, token: int = 0) -> None:
-        """Send one vote and put the status in force that answers it; anything else is a failed vote."""
+        """Send one vote and apply the statuses in the response.
+
+        Any other result is logged and reported to the router as a failed vote.
+        """
         message = VoteMessage(MESSAGE_VERSION, self.runtime.instance_number, build, stage, vote, token)
         try:
             with anyio.fail_after(self.config.answer_within):
@@ -146,12 +163,18 @@
                 )
             self.handle_vote_response(status, body)
         except (CallError, InvalidMessageError, TimeoutError) as error:
-            self.runtime.log_event(LogEvent.VOTE_FAILED, reason=str(error) or "no answer in time")
+            self.runtime.log_event(LogEvent.VOTE_FAILED, reason=str(error) or "no response in time")
             self.runtime.router.vote_failed(build)
 
     def handle_vote_response(self, status: int, body: bytes) -> None:
-        """Put the statuses in force that answer a vote. Raises CallError or InvalidMessageError."""
+        """Apply the statuses in the response to a vote.
+
+        Raises:
+            CallError: The response status is not 200.
+            InvalidMessageError: The body holds no valid status.
+        """
         if status != HTTP_OK:
             raise VoteRefusedError(status)
-        for line in body.splitlines() or [body]:  # an empty body is no answer
+        # An empty body counts as one invalid line, so that it fails the vote.
+        for line in body.splitlines() or [body]:
             self.apply_status(decode_message(line).get("news"))
--- a/gullmount/proxy/state_store.py
+++ b/gullmount/proxy/state_store.py
@@ -1,4 +1,4 @@
-"""Where an instance keeps what its next start needs: its cached endpoints and releases."""
+"""Stores the state that an instance needs at its next start: cached endpoints and releases."""
 
 from __future__ import annotations
 
@@ -8,38 +8,51 @@
 
 import anyio.to_thread
 
-MAX_FILE_BYTES = 64 << 20  # a larger file was not written here
+# A larger file was not written by `FileStateStore`; only this much of it is read.
+MAX_FILE_BYTES = 64 << 20
 
 
 class StateStore(Protocol):
-    """Keeps one text across restarts."""
+    """Stores one block of data across restarts."""
 
     def load(self) -> bytes | None:
-        """Return the text last saved, if any. Raises OSError where it cannot be read."""
+        """Return the data saved last, or None if there is none.
+
+        Raises:
+            OSError: The data cannot be read.
+        """
 
     async def save(self, data: bytes) -> None:
-        """Replace the text. Raises OSError where it cannot be written."""
+        """Replace the stored data.
+
+        Raises:
+            OSError: The data cannot be written.
+        """
 
 
 class NullStateStore:
-    """Keeps nothing: each start is the first."""
+    """Stores nothing, so that each start counts as the first one."""
 
     def load(self) -> bytes | None:
-        """Return nothing."""
+        """Return None."""
         return None
 
     async def save(self, data: bytes) -> None:
-        """Drop the text."""
+        """Discard the data."""
 
 
 class FileStateStore:
-    """Keeps one file that is replaced atomically: a crash leaves the old text or the new one."""
+    """Stores data in a file that is replaced atomically: a crash leaves the old content or the new one."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
 
     def load(self) -> bytes | None:
-        """Return the text last saved, if any. Raises OSError where it cannot be read."""
+        """Return the data saved last, or None if there is none.
+
+        Raises:
+            OSError: The data cannot be read.
+        """
         try:
             with self.path.open("rb") as file:
                 return file.read(MAX_FILE_BYTES)
@@ -47,7 +60,11 @@
             return None
 
     async def save(self, data: bytes) -> None:
-        """Replace the file and wait until it is on disk. Raises OSError where it cannot be written."""
+        """Replace the file and wait until it is on disk.
+
+        Raises:
+            OSError: The file cannot be written.
+        """
         await anyio.to_thread.run_sync(self._replace, data)
 
     def _replace(self, data: bytes) -> None:
--- a/tests/proxy/test_cached_state.py
+++ b/tests/proxy/test_cached_state.py
@@ -1,4 +1,4 @@
-"""What an instance remembers: a file of an earlier version is read, and written again as it was."""
+"""Tests the cached state of an instance, also with a state file that an earlier version wrote."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 from tests.support.proxy_edge import make_proxy_config
 
 SAVED_BY_883DEA8 = ROOT / "tests" / "data" / "remembered-883dea8.json"
-SAVED_AT = 1_700_000_000.0  # seconds of the wall clock when the file was written
+# Wall-clock time, in seconds, at which the file was written.
+SAVED_AT = 1_700_000_000.0
 
 
 class InMemoryStateStore:
-    """A state store that holds one text."""
+    """Keeps the saved state in memory."""
 
     def __init__(self, text: bytes) -> None:
         self.text = text
@@ -36,7 +37,7 @@
 
 
 def start_from_saved(text: bytes) -> tuple[ProxyInstance, list[str]]:
-    """Return an instance that started from the text 10 s after it was saved, and the events it logged."""
+    """Start an instance 10 s after `text` was saved; return it and the events that it logged."""
     events: list[str] = []
 
     async def start_instance() -> ProxyInstance:
--- a/tests/proxy/test_peer_gossip.py
+++ b/tests/proxy/test_peer_gossip.py
@@ -1,4 +1,4 @@
-"""What peers tell: sound rows and standings are taken, all else is dropped with one line in the log."""
+"""Tests that valid messages of peers are applied and all others are dropped with one log line."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FakeDatagrams:
-    """Datagrams to hear, and those sent."""
+    """Delivers the given datagrams, then closes; records those that are sent."""
 
     def __init__(self, incoming: list[tuple[bytes, str]]) -> None:
         self.incoming = incoming
@@ -43,6 +43,7 @@
 def run_gossip(
     *incoming: tuple[bytes, str], outgoing: list[SampleRow] | Assessment | None = None
 ) -> tuple[StreamingRuntime, FakeDatagrams, list[str]]:
+    """Send `outgoing` and receive `incoming`; return the runtime, the datagrams and the logged events."""
     log: list[str] = []
     fake_datagrams = FakeDatagrams(list(incoming))
     config = make_proxy_config(number=0, of=3)
@@ -70,6 +71,7 @@
 
 
 def message(**fields: Any) -> bytes:
+    """Return an encoded message of peer 2."""
     return msgspec.json.encode({"v": 1, "from": 2, **fields})
 
 
--- a/tests/proxy/test_remembered_list.py
+++ b/tests/proxy/test_remembered_list.py
@@ -1,4 +1,4 @@
-"""A proxy starts from the endpoint list and the release status that version 883dea8 wrote to disk."""
+"""Tests that a proxy starts from the endpoints and release status that version 883dea8 wrote to disk."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 from tests.support.proxy_edge import OK_RESPONSE, make_proxy_config, run_with_net
 
 WRITTEN_BY_883DEA8 = ROOT / "tests" / "data" / "remembered_list_883dea8.json"
-SAVED_AT = 1_800_000_000.0  # s, Unix time at which the file was written
+# Unix time, in seconds, at which the file was written.
+SAVED_AT = 1_800_000_000.0
 
 
 def start_proxy(net: Net, tmp_path: Path, log: list[str]) -> ProxyInstance:
-    """A proxy without discovery and release controller, an hour after the file was written."""
+    """Return a proxy without discovery and release controller, one hour after the file was written."""
     path = tmp_path / "remembered.json"
     path.write_bytes(WRITTEN_BY_883DEA8.read_bytes())
     return ProxyInstance(
--- a/tests/support/proxy_edge.py
+++ b/tests/support/proxy_edge.py
@@ -1,4 +1,4 @@
-"""One umpire on a network of its own, with boxes and clients that are scripted byte by byte."""
+"""Fixture that runs one proxy with servers and clients whose bytes are scripted."""
 
 from __future__ import annotations
 
@@ -21,6 +21,7 @@
 
 
 def make_proxy_config(**changes: Any) -> ProxyConfig:
+    """Return a valid configuration in which `changes` replace top-level values."""
     settings = {
         "number": 0,
         "of": 1,
@@ -83,7 +84,12 @@
 
 
 class ProxyFixture:
-    """The scripted surroundings; `received` holds what each box read, in order of connections."""
+    """A running proxy and its network.
+
+    Attributes:
+        received: Data that the servers received, each with the server's port, in the order of arrival.
+        outcomes: Outcomes of the attempts, in the order in which they ended.
+    """
 
     def __init__(self, net: Net, proxy: ProxyInstance) -> None:
         self.net = net
@@ -92,15 +98,17 @@
         self.outcomes: list[str] = []
 
     async def connect_client(self) -> Stream:
+        """Open a client connection to the proxy."""
         return await self.net.connect(self.proxy.config.listen)
 
     async def send_and_read(self, data: bytes, timeout: float = 5.0) -> bytes:
-        """Send `data`, and all that comes back until the connection ends or falls silent."""
+        """Send `data` on a new connection; return all that is received until it ends or `timeout` passes."""
         stream = await self.connect_client()
         await stream.send(data)
         return await self.read_to_end(stream, timeout)
 
     async def read_to_end(self, stream: Stream, timeout: float = 5.0) -> bytes:
+        """Return all that is received until the stream ends or `timeout` passes, and close the stream."""
         response = b""
         with anyio.move_on_after(timeout):
             try:
@@ -113,7 +121,7 @@
 
 
 async def serve_watch(stream: Stream, *messages: dict[str, Any]) -> None:
-    """A watch: the head, then each message as a chunk; stays open."""
+    """Respond to a watch with each message as a chunk, and keep the stream open."""
     await stream.receive()
     chunks = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
     for message in messages:
@@ -127,7 +135,13 @@
 async def proxy_fixture(
     net: Net, scripts: dict[str, ServerScript], **changes: Any
 ) -> AsyncIterator[ProxyFixture]:
-    """An umpire that knows one box for each script, by name of its port."""
+    """Run a proxy that knows one server for each script.
+
+    Args:
+        net: Network of the proxy, the servers and the clients.
+        scripts: What each server does on a connection, by the server's port.
+        changes: Passed to `make_proxy_config`.
+    """
     servers = [
         {
             "box": f"{HOST}:{port}",
@@ -184,7 +198,7 @@
 
 
 class RecordingStream(Stream):
-    """A box's end of a connection that notes what it reads."""
+    """A server's side of a connection that records the received data in the fixture."""
 
     def __init__(self, inner: Stream, port: str, fixture: ProxyFixture) -> None:
         self.inner, self.port, self.fixture = inner, port, fixture
@@ -212,11 +226,11 @@
 
 
 async def connection_refused(stream: Stream) -> None:
-    """Stands for a box that nobody runs."""
+    """Script of a server that is not started, so that connections to it are refused."""
 
 
 def run_with_net(virtual: bool, scenario: Callable[[Net], Awaitable[None]]) -> None:
-    """Run a scene in memory and virtual time, or on sockets."""
+    """Run a scenario in memory and virtual time if `virtual`, otherwise on sockets."""
     if virtual:
         clock = trio.testing.MockClock(autojump_threshold=0)
         anyio.run(scenario, MemoryNet(), backend="trio", backend_options={"clock": clock})
