--- a/gullmount/proxy/event_loop_stalls.py
+++ b/gullmount/proxy/event_loop_stalls.py
@@ -24,7 +24,7 @@
 from gullmount.proxy.log_events import LogEvent
 
 HEARTBEAT_SECONDS = 0.04
-# A missing heartbeat counts as a stall after this time. A client's disconnect must be seen within 0.1 s.
+# Time without a heartbeat that counts as a stall. A client's disconnect must be seen within 0.1 s.
 STALL_THRESHOLD_SECONDS = 0.08
 # Longer stalls are logged.
 LOGGED_STALL_THRESHOLD_SECONDS = 0.25
@@ -127,8 +127,8 @@
         """Await `receive` for `seconds`, and accept data that arrived during a stall as in time.
 
         After a stall the event loop handles expired deadlines before it polls the sockets, so `receive` is
-        awaited a second time. This does not wait until the loop has resumed: the data must be processed
-        before the deferred decisions.
+        awaited a second time. The data is returned without waiting until the loop has resumed, because it
+        must be processed before the deferred decisions.
 
         Raises:
             TimeoutError: Nothing was received in time.
--- a/gullmount/proxy/runtime.py
+++ b/gullmount/proxy/runtime.py
@@ -95,7 +95,7 @@
         return read_clock()
 
     def forward(self, request_id: str, server_id: str, timeout: float) -> None:
-        """Start an attempt at the server that may take `timeout` seconds."""
+        """Start an attempt at the server; it ends after `timeout` seconds at the latest."""
         exchange = self.exchanges[request_id]
         number = exchange.begin_attempt(server_id)
         self.start_attempt(exchange, number, server_id, timeout)
@@ -140,7 +140,7 @@
             self.on_vote(build, stage, vote)
 
     def gossip_vote(self, peer: int, build: int, stage: int, vote: Vote) -> None:
-        """Send a vote to a peer, if there is gossip."""
+        """Send a vote to a peer, if gossip is enabled."""
         if self.on_gossip_vote is not None:
             self.on_gossip_vote(peer, build, stage, vote)
 
@@ -156,7 +156,7 @@
         self.log_event(LogEvent.CANARY_ANALYSIS, message=text)
 
     def log_finding(self, finding: Finding) -> None:
-        """Log which of two candidates an attribution finding blames."""
+        """Log an attribution finding: which of two candidates is to blame."""
         self.log_event(LogEvent.RELEASE_ATTRIBUTION, **finding.log_fields())
 
     # Requests.
