--- a/gullmount/proxy/__init__.py
+++ b/gullmount/proxy/__init__.py
@@ -1,7 +1,8 @@
-"""One proxy instance on a network: serves HTTP requests and does what the router decides.
+"""Serves HTTP requests as one proxy instance and carries out the decisions of its router.
 
-Use it as a library: `async with ProxyInstance(config, net=..., seed=...)`. Two in one process share nothing.
-Names are loaded when they are first used: `gullmount.platform` has no memory to spare for what reads YAML.
+To use it as a library, write `async with ProxyInstance(config, net=..., seed=...)`. Several instances in one
+process share no state. Public names are imported on first use, because `gullmount.platform` imports this
+package and has no memory to spare for the YAML modules.
 """
 
 from importlib import import_module
@@ -12,7 +13,7 @@
     from gullmount.proxy.instance import ProxyInstance
     from gullmount.proxy.state_store import FileStateStore, NullStateStore, StateStore
 
-MODULES = {
+MODULE_BY_NAME = {
     "FileStateStore": "state_store",
     "NullStateStore": "state_store",
     "ProxyConfig": "config",
@@ -24,6 +25,6 @@
 
 
 def __getattr__(name: str) -> Any:
-    if name not in MODULES:
+    if name not in MODULE_BY_NAME:
         raise AttributeError(name)
-    return getattr(import_module(f"gullmount.proxy.{MODULES[name]}"), name)
+    return getattr(import_module(f"gullmount.proxy.{MODULE_BY_NAME[name]}"), name)
--- a/gullmount/proxy/config.py
+++ b/gullmount/proxy/config.py
@@ -1,6 +1,8 @@
-"""The YAML file of one proxy instance: fields have its keys, the other modules the terms of the field.
+"""Defines the YAML configuration file of one proxy instance.
 
-Validated once at the start; nothing reads the file later. Times are in seconds, sizes in bytes.
+Fields are named after the keys of the file; the methods that return settings translate them to the names
+that other modules use. The file is read and validated once, at the start. Times are in seconds, sizes in
+bytes.
 """
 
 from __future__ import annotations
@@ -28,59 +30,74 @@
 )
 from gullmount.yamlfile import Described
 
-AT_MOST_ONCE_SUFFIX = " once"  # ends the name of a route's variant for requests that cannot be sent twice
+# Suffix for the name of the variant of a route that serves requests which cannot be sent twice.
+AT_MOST_ONCE_SUFFIX = " once"
 
 
 def check_address(text: str) -> str:
-    """Return the address. Raises ValueError where it is none."""
+    """Return the address unchanged.
+
+    Raises:
+        ValueError: The text is not of the form `host:port`.
+    """
     parse_address(text)
     return text
 
 
 def normalize_header(text: str) -> str:
-    """Return the header's name in lower case. Raises HeaderNameError where it is none."""
+    """Return the header name in lower case.
+
+    Raises:
+        HeaderNameError: The text is not a valid header name.
+    """
     if not re.fullmatch(r"[A-Za-z0-9!#$%&'*+.^_`|~-]+", text):
         raise HeaderNameError
     return text.lower()
 
 
 Address = Annotated[str, AfterValidator(check_address)]
-Header = Annotated[str, AfterValidator(normalize_header)]
-Share = Annotated[float, Field(ge=0, le=1)]
-NotNegative = Annotated[float, Field(ge=0)]
-Count = Annotated[int, Field(ge=0)]
+HeaderName = Annotated[str, AfterValidator(normalize_header)]
+Fraction = Annotated[float, Field(ge=0, le=1)]
+NonNegativeFloat = Annotated[float, Field(ge=0)]
+NonNegativeInt = Annotated[int, Field(ge=0)]
 
 
 class RouteMatch(Described):
-    """Which requests belong to a route; all that is given must match.
+    """Selects the requests of a route; each condition that is set must match.
 
-    `*` in the path stands for one segment or, at its end, for all that follows.
+    Attributes:
+        method: Allowed methods; empty for any.
+        path: Pattern of the path. `*` matches within one segment, or at the end everything that follows.
+        headers: Required headers with their values.
     """
 
     method: list[str] = []
     path: str = "/*"
-    headers: dict[Header, str] = {}
+    headers: dict[HeaderName, str] = {}
 
     def pattern(self) -> re.Pattern[str]:
-        """Return the pattern of matching targets, with any query."""
+        """Return a regular expression for the targets that match, with or without a query."""
         parts = self.path.split("*")
-        inner = "[^/?]*".join(re.escape(part) for part in parts[:-1])
+        prefix_pattern = "[^/?]*".join(re.escape(part) for part in parts[:-1])
         if len(parts) == 1:
             return re.compile(re.escape(self.path) + r"(\?.*)?", re.ASCII | re.DOTALL)
-        joined = inner + "[^/?]*" if parts[-1] else inner + ".*"
-        return re.compile(joined + re.escape(parts[-1]) + r"(\?.*)?", re.ASCII | re.DOTALL)
+        pattern_text = prefix_pattern + "[^/?]*" if parts[-1] else prefix_pattern + ".*"
+        return re.compile(pattern_text + re.escape(parts[-1]) + r"(\?.*)?", re.ASCII | re.DOTALL)
 
 
 class RouteConfig(Described):
-    """A route.
+    """One route.
 
     Attributes:
-        objective: the latency objective.
-        repeats: the retry safety.
-        group: the deduplication scope.
-        dedupe_window: for which servers of the scope drop a repeat.
-        dedupe_mark: the header by which they know it; a request without it goes out once only.
-        stream: whether responses are relayed as they come.
+        name: Unique name.
+        match: Selects the requests of the route.
+        objective: Latency objective in seconds.
+        timeout: Longest timeout of a request, in seconds; a client may ask for a shorter one.
+        repeats: Retry safety.
+        group: Deduplication scope.
+        dedupe_window: Seconds for which the servers of the scope drop a repeated request.
+        dedupe_mark: Header by which they recognise it. A request without this header is sent at most once.
+        stream: Whether responses are relayed as they arrive.
     """
 
     name: Annotated[str, Field(min_length=1, max_length=100)]
@@ -89,13 +106,17 @@
     timeout: PositiveFloat
     repeats: RetrySafety
     group: DeduplicationScope = DeduplicationScope.ALL
-    dedupe_window: NotNegative = 0.0
-    dedupe_mark: Header | None = None
+    dedupe_window: NonNegativeFloat = 0.0
+    dedupe_mark: HeaderName | None = None
     stream: bool = False
 
     @model_validator(mode="after")
-    def check(self) -> Self:
-        """Return the route. Raises ConfigError where its values contradict each other."""
+    def check_consistency(self) -> Self:
+        """Return the route unchanged.
+
+        Raises:
+            ConfigError: Values contradict each other.
+        """
         if self.name.endswith(AT_MOST_ONCE_SUFFIX):
             raise ReservedRouteNameError(AT_MOST_ONCE_SUFFIX)
         if self.repeats is RetrySafety.DEDUPLICATED and not (self.dedupe_window and self.dedupe_mark):
@@ -105,40 +126,44 @@
         return self
 
     def route(self, name: str, retry_safety: RetrySafety, deduplication_window: float) -> Route:
-        """Return the route as the router takes it."""
+        """Return the route in the form that the router uses."""
         return Route(name, self.objective, retry_safety, self.group, deduplication_window)
 
 
 class AffinityKeyConfig(Described):
-    """Where a request's affinity key is: a header, a cookie or a segment of the path, counted from 0.
+    """Where to find a request's affinity key; the first place that has one counts.
 
-    The first one found counts.
+    Attributes:
+        header: Header with the key.
+        cookie: Cookie with the key.
+        segment: Index of the path segment with the key, from 0.
     """
 
-    header: Header | None = None
+    header: HeaderName | None = None
     cookie: str | None = None
-    segment: Count | None = None
+    segment: NonNegativeInt | None = None
 
 
 class DownstreamConfig(Described):
-    """Limits on clients, and how they say for how long they wait.
+    """Limits on clients and their connections.
 
     Attributes:
-        patience_header: says it in milliseconds.
-        margin: before the client's deadline, by which the response leaves here.
-        head_most: of a request's head.
-        body_most: of a request's body.
-        body_kept: of a body that is buffered, and can be sent twice.
-        read_within: for the next bytes of a request.
-        idle: between requests of a connection.
-        write_within: for the client to take what is written.
+        patience_header: Header in which a client states its timeout, in milliseconds.
+        margin: Time before the client's deadline at which the response must be sent, in seconds.
+        head_most: Maximum size of a request's head, in bytes.
+        body_most: Maximum size of a request's body, in bytes.
+        body_kept: Maximum size of a body that is buffered and can be sent twice, in bytes.
+        connections: Maximum number of client connections.
+        read_within: Time to wait for the next bytes of a request, in seconds.
+        idle: Time that a connection may be idle between requests, in seconds.
+        write_within: Time for the client to accept written data, in seconds.
     """
 
-    patience_header: Header = "x-patience-ms"
-    margin: NotNegative = 0.005
+    patience_header: HeaderName = "x-patience-ms"
+    margin: NonNegativeFloat = 0.005
     head_most: PositiveInt = 32768
     body_most: PositiveInt = 16 << 20
-    body_kept: Count = 1 << 20
+    body_kept: NonNegativeInt = 1 << 20
     connections: PositiveInt = 4096
     read_within: PositiveFloat = 10.0
     idle: PositiveFloat = 60.0
@@ -146,49 +171,53 @@
 
 
 class UpstreamConfig(Described):
-    """Limits on servers.
+    """Limits on servers and their connections.
 
     Attributes:
-        cold_share: part of its capacity that a server has when it starts.
-        warm_time: until it has all of it.
-        tip_multiple: of its expected latency, from which a server counts as overloaded.
-        max_tries: attempts of one request.
-        link_idle: after which an idle connection is not used any more.
-        links: connections to one server.
-        answer_kept: of a response that is buffered; a longer one is relayed as it comes.
-        not_begun_header: by which a server says that it did not begin a request.
+        cold_share: Share of its capacity that a server has when it starts, from 0 to 1.
+        warm_time: Time from its start until it has its full capacity, in seconds.
+        tip_multiple: Multiple of its capacity at which a cold server collapses.
+        max_tries: Maximum number of attempts per request.
+        connect_within: Time to open a connection, in seconds.
+        link_idle: Idle time after which a connection is not reused, in seconds.
+        links: Maximum number of connections to one server.
+        answer_kept: Maximum size of a buffered response, in bytes. A longer one is relayed as it arrives.
+        not_begun_header: Response header by which a server states that it did not begin the request.
     """
 
-    cold_share: Share
+    cold_share: Fraction
     warm_time: PositiveFloat
     tip_multiple: PositiveFloat
     max_tries: PositiveInt
     connect_within: PositiveFloat = 0.25
     link_idle: PositiveFloat = 15.0
     links: PositiveInt = 256
-    answer_kept: Count = 1 << 20
-    not_begun_header: Header = "x-not-begun"
+    answer_kept: NonNegativeInt = 1 << 20
+    not_begun_header: HeaderName = "x-not-begun"
 
 
 class ReleaseConfig(Described):
-    """How builds are exposed and what votes bring about; `ReleaseSettings` has the field's terms."""
+    """How builds are exposed and what votes cause.
+
+    `release_settings` maps the fields to those of `ReleaseSettings`, which are documented there.
+    """
 
-    caps: Annotated[list[Share], Field(min_length=1)]
+    caps: Annotated[list[Fraction], Field(min_length=1)]
     by_route: bool = False
-    closed_stages: Count = 0
+    closed_stages: NonNegativeInt = 0
     one_way: bool = False
     window: PositiveFloat
-    spare_tries: NotNegative
+    spare_tries: NonNegativeFloat
     timed: bool = False
     vote_life: PositiveFloat
-    to_advance: Count
+    to_advance: NonNegativeInt
     back_votes: PositiveInt
     votes_per_s: PositiveFloat
-    tally_period: NotNegative = 0.0
+    tally_period: NonNegativeFloat = 0.0
     at_once: PositiveInt = 1
 
     def release_settings(self) -> ReleaseSettings:
-        """Return the same in the terms of the decisions."""
+        """Return these settings in the form that the router uses."""
         return ReleaseSettings(
             exposure_limits=self.caps,
             counted_by_route=self.by_route,
@@ -207,39 +236,49 @@
 
 
 class DiscoveryConfig(Described):
-    """Where discovery is: `push` is watched from the start, `ask` when the router asks."""
+    """Address of discovery, and when it is watched: `push` from the start, `ask` at the router's request."""
 
     address: Address
     how: Literal["push", "ask"] = "push"
 
 
 class ReleaseControllerConfig(Described):
-    """Where the release controller is, and within which time it answers a vote."""
+    """Address of the release controller and its response timeout for votes, in seconds."""
 
     address: Address
     answer_within: PositiveFloat = 2.0
 
 
 class PeerConfig(Described):
-    """Where this instance receives gossip, and where all do, by number."""
+    """Address at which this instance receives gossip, and the addresses of all instances by number."""
 
     listen: Address
-    addresses: dict[Count, Address]
+    addresses: dict[NonNegativeInt, Address]
 
 
 class ProxyConfig(Described):
-    """The whole file.
+    """The configuration file.
 
     Attributes:
-        number: of this instance, from 0.
-        of: how many instances there are.
-        connect_from: the host that connections come from, where the machine has several.
-        remembered: path of the file that outlives the process.
-        key: where a request's affinity key is.
-        max_retry_after: highest Retry-After of a rejected request; 0 for none.
+        number: Number of this instance, from 0.
+        of: Number of instances.
+        zone: Zone in which this instance runs.
+        listen: Address at which clients are accepted.
+        connect_from: Host address that outgoing connections use, on machines that have several.
+        seed: Seed of all random numbers; random by default.
+        remembered: Path of the file that keeps state across restarts; by default nothing is kept.
+        roster: Address of discovery and when it is watched.
+        launcher: Address of the release controller and its response timeout.
+        peers: Gossip with the other instances; off by default.
+        routes: The routes; the first one that matches a request counts.
+        key: Where to find a request's affinity key.
+        clients: Limits on clients.
+        boxes: Limits on servers.
+        releases: How builds are released.
+        max_retry_after: Longest Retry-After of a rejected request, in seconds; 0 for none.
     """
 
-    number: Count
+    number: NonNegativeInt
     of: PositiveInt
     zone: str
     listen: Address
@@ -254,29 +293,37 @@
     clients: DownstreamConfig = DownstreamConfig()
     boxes: UpstreamConfig
     releases: ReleaseConfig
-    max_retry_after: NotNegative = 0.0
+    max_retry_after: NonNegativeFloat = 0.0
 
     @model_validator(mode="after")
-    def check(self) -> Self:
-        """Return the configuration. Raises ConfigError where its values contradict each other."""
+    def check_consistency(self) -> Self:
+        """Return the configuration unchanged.
+
+        Raises:
+            ConfigError: Values contradict each other.
+        """
         names = [route.name for route in self.routes]
-        twice = sorted({name for name in names if names.count(name) > 1})
-        if twice:
-            raise DuplicateRouteError(twice)
+        duplicates = sorted({name for name in names if names.count(name) > 1})
+        if duplicates:
+            raise DuplicateRouteError(duplicates)
         if self.number >= self.of:
             raise InstanceNumberError(self.number, self.of)
         return self
 
     def instance_settings(self, seed: int, restarted: bool) -> InstanceSettings:
-        """Return the same as the router takes it.
+        """Return these settings in the form that the router uses.
+
+        Each route gets a second variant for requests that are sent at most once.
 
-        Each route has a variant for requests that go out once only.
+        Args:
+            seed: Seed of the router's random numbers.
+            restarted: Whether attempts of an earlier process may still count for the exposure limit.
         """
         routes: dict[str, Route] = {}
         for config in self.routes:
-            once_name = config.name + AT_MOST_ONCE_SUFFIX
+            at_most_once_name = config.name + AT_MOST_ONCE_SUFFIX
             routes[config.name] = config.route(config.name, config.repeats, config.dedupe_window)
-            routes[once_name] = config.route(config.name, RetrySafety.AT_MOST_ONCE, 0.0)
+            routes[at_most_once_name] = config.route(config.name, RetrySafety.AT_MOST_ONCE, 0.0)
         return InstanceSettings(
             seed=seed,
             routes=routes,
--- a/tests/support/proxy_edge.py
+++ b/tests/support/proxy_edge.py
@@ -1,4 +1,4 @@
-"""One umpire on a network of its own, with boxes and clients that are scripted byte by byte."""
+"""Fixture that runs one proxy with servers and clients whose bytes are scripted."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 from gullmount.proxy import ProxyConfig, ProxyInstance
 from tests.support.fault_block import own_block
 
-BoxScript = Callable[[Stream], Awaitable[None]]
-OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
-FULL = b"HTTP/1.1 503 Busy\r\nx-not-begun: 1\r\ncontent-length: 0\r\n\r\n"
+ServerScript = Callable[[Stream], Awaitable[None]]
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
+OVERLOADED_RESPONSE = b"HTTP/1.1 503 Busy\r\nx-not-begun: 1\r\ncontent-length: 0\r\n\r\n"
 HOST = f"{own_block()}.0.1"
 
 
-def terms(**changes: Any) -> ProxyConfig:
-    told = {
+def make_proxy_config(**changes: Any) -> ProxyConfig:
+    """Return a valid configuration in which `changes` replace top-level values."""
+    settings = {
         "number": 0,
         "of": 1,
         "zone": "a",
@@ -79,54 +80,69 @@
             "votes_per_s": 50,
         },
     }
-    return ProxyConfig.model_validate({**told, **changes})
+    return ProxyConfig.model_validate({**settings, **changes})
 
 
-class Edge:
-    """The scripted surroundings; `seen` holds what each box read, in order of connections."""
+class ProxyFixture:
+    """A running proxy and its network.
 
-    def __init__(self, net: Net, umpire: ProxyInstance) -> None:
+    Attributes:
+        received: Data that the servers received, each with the server's port, in the order of arrival.
+        outcomes: Outcomes of the attempts, in the order in which they ended.
+    """
+
+    def __init__(self, net: Net, proxy: ProxyInstance) -> None:
         self.net = net
-        self.umpire = umpire
-        self.seen: list[tuple[str, bytes]] = []
+        self.proxy = proxy
+        self.received: list[tuple[str, bytes]] = []
         self.outcomes: list[str] = []
 
-    async def client(self) -> Stream:
-        return await self.net.connect(self.umpire.config.listen)
+    async def connect_client(self) -> Stream:
+        """Open a client connection to the proxy."""
+        return await self.net.connect(self.proxy.config.listen)
 
-    async def ask(self, data: bytes, within: float = 5.0) -> bytes:
-        """Send `data`, and all that comes back until the connection ends or falls silent."""
-        stream = await self.client()
+    async def send_and_read(self, data: bytes, timeout: float = 5.0) -> bytes:
+        """Send `data` on a new connection; return all that is received until it ends or `timeout` passes."""
+        stream = await self.connect_client()
         await stream.send(data)
-        return await self.rest(stream, within)
+        return await self.read_to_end(stream, timeout)
 
-    async def rest(self, stream: Stream, within: float = 5.0) -> bytes:
-        got = b""
-        with anyio.move_on_after(within):
+    async def read_to_end(self, stream: Stream, timeout: float = 5.0) -> bytes:
+        """Return all that is received until the stream ends or `timeout` passes, and close the stream."""
+        response = b""
+        with anyio.move_on_after(timeout):
             try:
                 while True:
-                    got += await stream.receive()
+                    response += await stream.receive()
             except STREAM_ERRORS:
                 pass
         await stream.aclose()
-        return got
+        return response
 
 
-async def lines(stream: Stream, *told: dict[str, Any]) -> None:
-    """A watch: the head, then each message as a chunk; stays open."""
+async def serve_watch(stream: Stream, *messages: dict[str, Any]) -> None:
+    """Respond to a watch with each message as a chunk, and keep the stream open."""
     await stream.receive()
-    out = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
-    for message in told:
+    chunks = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
+    for message in messages:
         line = msgspec.json.encode({"v": 1, **message}) + b"\n"
-        out += b"%x\r\n%s\r\n" % (len(line), line)
-    await stream.send(out)
+        chunks += b"%x\r\n%s\r\n" % (len(line), line)
+    await stream.send(chunks)
     await anyio.sleep_forever()
 
 
 @asynccontextmanager
-async def edge(net: Net, scripts: dict[str, BoxScript], **changes: Any) -> AsyncIterator[Edge]:
-    """An umpire that knows one box for each script, by name of its port."""
-    boxes = [
+async def proxy_fixture(
+    net: Net, scripts: dict[str, ServerScript], **changes: Any
+) -> AsyncIterator[ProxyFixture]:
+    """Run a proxy that knows one server for each script.
+
+    Args:
+        net: Network of the proxy, the servers and the clients.
+        scripts: What each server does on a connection, by the server's port.
+        changes: Passed to `make_proxy_config`.
+    """
+    servers = [
         {
             "box": f"{HOST}:{port}",
             "zone": "a",
@@ -140,56 +156,56 @@
         for port in scripts
     ]
 
-    async def roster(stream: Stream) -> None:
-        await lines(stream, {"kind": "full", "index": 1, "boxes": boxes})
+    async def serve_discovery(stream: Stream) -> None:
+        await serve_watch(stream, {"kind": "full", "index": 1, "boxes": servers})
 
-    async def launcher(stream: Stream) -> None:
-        await lines(stream, {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}})
+    async def serve_release_controller(stream: Stream) -> None:
+        await serve_watch(stream, {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}})
 
     async with anyio.create_task_group() as tasks:
 
-        async def serve(address: str, script: BoxScript) -> None:
+        async def serve(address: str, script: ServerScript) -> None:
             started = anyio.Event()
             tasks.start_soon(net.serve, address, script, started)
             await started.wait()
 
-        await serve(f"{HOST}:7001", roster)
-        await serve(f"{HOST}:7002", launcher)
-        async with ProxyInstance(terms(**changes), net=net) as umpire:
-            made = Edge(net, umpire)
-            ended = umpire.runtime.router.attempt_ended
+        await serve(f"{HOST}:7001", serve_discovery)
+        await serve(f"{HOST}:7002", serve_release_controller)
+        async with ProxyInstance(make_proxy_config(**changes), net=net) as proxy:
+            fixture = ProxyFixture(net, proxy)
+            original_attempt_ended = proxy.runtime.router.attempt_ended
 
-            def note(req: Any, number: int, outcome: Any, latency: float, final: bool) -> None:
-                made.outcomes.append(outcome.value)
-                ended(req, number, outcome, latency, final)
+            def record_outcome(request: Any, number: int, outcome: Any, latency: float, final: bool) -> None:
+                fixture.outcomes.append(outcome.value)
+                original_attempt_ended(request, number, outcome, latency, final)
 
-            umpire.runtime.router.attempt_ended = note  # type: ignore[method-assign]
+            proxy.runtime.router.attempt_ended = record_outcome  # type: ignore[method-assign]
             for port, script in scripts.items():
 
-                async def noted(stream: Stream, port: str = port, script: BoxScript = script) -> None:
+                async def run_script(stream: Stream, port: str = port, script: ServerScript = script) -> None:
                     try:
-                        await script(Noting(stream, port, made))
+                        await script(RecordingStream(stream, port, fixture))
                     except STREAM_ERRORS:
                         pass
                     await anyio.aclose_forcefully(stream)
 
-                if script is not refused:
-                    await serve(f"{HOST}:{port}", noted)
+                if script is not connection_refused:
+                    await serve(f"{HOST}:{port}", run_script)
             with anyio.fail_after(5):
-                await umpire.listening.wait()
-            yield made
+                await proxy.listening.wait()
+            yield fixture
         tasks.cancel_scope.cancel()
 
 
-class Noting(Stream):
-    """A box's end of a connection that notes what it reads."""
+class RecordingStream(Stream):
+    """A server's side of a connection that records the received data in the fixture."""
 
-    def __init__(self, inner: Stream, port: str, made: Edge) -> None:
-        self.inner, self.port, self.made = inner, port, made
+    def __init__(self, inner: Stream, port: str, fixture: ProxyFixture) -> None:
+        self.inner, self.port, self.fixture = inner, port, fixture
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
         data = await self.inner.receive(max_bytes)
-        self.made.seen.append((self.port, data))
+        self.fixture.received.append((self.port, data))
         return data
 
     async def send(self, item: bytes) -> None:
@@ -209,14 +225,14 @@
         return self.inner.abort  # type: ignore[attr-defined]
 
 
-async def refused(stream: Stream) -> None:
-    """Stands for a box that nobody runs."""
+async def connection_refused(stream: Stream) -> None:
+    """Script of a server that is not started, so that connections to it are refused."""
 
 
-def play(virtual: bool, scene: Callable[[Net], Awaitable[None]]) -> None:
-    """Run a scene in memory and virtual time, or on sockets."""
+def run_with_net(virtual: bool, scenario: Callable[[Net], Awaitable[None]]) -> None:
+    """Run a scenario in memory and virtual time if `virtual`, otherwise on sockets."""
     if virtual:
         clock = trio.testing.MockClock(autojump_threshold=0)
-        anyio.run(scene, MemoryNet(), backend="trio", backend_options={"clock": clock})
+        anyio.run(scenario, MemoryNet(), backend="trio", backend_options={"clock": clock})
     else:
-        anyio.run(scene, TcpNet(), backend="asyncio")
+        anyio.run(scenario, TcpNet(), backend="asyncio")
