--- a/tests/platform/test_discovery_watch.py
+++ b/tests/platform/test_discovery_watch.py
@@ -26,21 +26,21 @@
 from tests.support.platform_scene import play as play_virtual
 from tests.support.platform_world import HOST, OK
 from tests.support.race_scenes import (
-    DISCOVERY,
-    Edge,
+    DISCOVERY_PORT,
+    ProxyHarness,
     accept,
-    asked,
+    assert_serves_request,
     client,
-    edge,
-    heard,
+    is_readable,
     listener,
     member,
-    message,
-    play,
+    proxy_harness,
+    receive_message,
+    receive_until,
+    request_bytes,
     reset,
-    served,
-    until,
-    waiting,
+    run_scenario,
+    wait_until,
 )
 
 MOVED = 8111
@@ -53,11 +53,11 @@
 
 async def call(sock: socket.socket) -> int:
     """The revision after which discovery is asked next on this connection."""
-    data = await heard(sock, lambda data: data.endswith(b"\r\n\r\n"))
+    data = await receive_until(sock, lambda data: data.endswith(b"\r\n\r\n"))
     return int(re.findall(rb"after=(\d+)&wait_ms=\d+ HTTP", data)[0])
 
 
-def phases(scene: Edge) -> set[str]:
+def phases(scene: ProxyHarness) -> set[str]:
     return {server for server, held in scene.runtime.router.endpoints.servers.items() if held.ready}
 
 
@@ -66,26 +66,26 @@
     """The old service ends its connection in the turn in which SIGHUP moves the watch: no wait of seconds."""
 
     async def scene() -> None:
-        with listener(DISCOVERY) as old, listener(MOVED) as new:
-            async with edge(tmp_path, boxes=2) as made:
+        with listener(DISCOVERY_PORT) as old, listener(MOVED) as new:
+            async with proxy_harness(tmp_path, server_count=2) as made:
                 watch = await accept(old)
                 assert await call(watch) == 1
                 end(watch)
-                made.umpire.discovery.change_address(f"{HOST}:{MOVED}")
+                made.proxy.discovery.change_address(f"{HOST}:{MOVED}")
                 moved = await accept(new)
                 assert await call(moved) == 0 and not any("REFUSED" in line for line in made.log)
                 moved.sendall(page(3, member(2), complete=True))
-                await until(lambda: phases(made) == {"s-2"})
+                await wait_until(lambda: phases(made) == {"s-2"})
                 assert await call(moved) == 3
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("state", ["waiting for an answer", "in the middle of a body", "not connected"])
 def test_a_watch_is_moved_in_each_state_and_a_lower_revision_is_no_wall(tmp_path: Path, state: str) -> None:
     async def scene() -> None:
-        with listener(DISCOVERY) as old, listener(MOVED) as new:
-            async with edge(tmp_path) as made:
+        with listener(DISCOVERY_PORT) as old, listener(MOVED) as new:
+            async with proxy_harness(tmp_path) as made:
                 watch = await accept(old)
                 await call(watch)
                 watch.sendall(page(90, member(1)))
@@ -94,27 +94,27 @@
                     watch.sendall(page(91, member(1, phase="gone"))[:-5])
                 elif state == "not connected":
                     watch.close()
-                    await until(lambda: made.umpire.discovery.client.stream is None)
-                made.umpire.discovery.change_address(f"{HOST}:{MOVED}")
+                    await wait_until(lambda: made.proxy.discovery.client.stream is None)
+                made.proxy.discovery.change_address(f"{HOST}:{MOVED}")
                 moved = await accept(new)
                 assert await call(moved) == 0
                 moved.sendall(page(7, member(1), member(2), complete=True))
-                await until(lambda: phases(made) == {"s-1", "s-2"})
+                await wait_until(lambda: phases(made) == {"s-1", "s-2"})
                 assert await call(moved) == 7
                 if state != "not connected":
                     with pytest.raises((EOFError, ConnectionError)):
                         await call(watch)  # the old one is left
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_an_answer_of_the_old_service_that_is_heard_as_the_watch_moves(tmp_path: Path) -> None:
     """SIGHUP between the answer's last byte and its being heard: the new service is asked for all."""
 
     async def scene() -> None:
-        with listener(DISCOVERY) as old, listener(MOVED) as new:
-            async with edge(tmp_path) as made:
-                watch, discovery = await accept(old), made.umpire.discovery
+        with listener(DISCOVERY_PORT) as old, listener(MOVED) as new:
+            async with proxy_harness(tmp_path) as made:
+                watch, discovery = await accept(old), made.proxy.discovery
                 await call(watch)
                 hear = discovery.apply_page
 
@@ -128,15 +128,15 @@
                 moved = await accept(new)
                 assert await call(moved) == 0
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_watch_that_ends_is_opened_anew_at_once_and_then_with_pauses(tmp_path: Path) -> None:
     """The only instance: nobody else calls at the same moment."""
 
     async def scene() -> None:
-        with listener(DISCOVERY) as discovery:
-            async with edge(tmp_path):
+        with listener(DISCOVERY_PORT) as discovery:
+            async with proxy_harness(tmp_path):
                 watch = await accept(discovery)
                 await call(watch)
                 watch.sendall(page(2))
@@ -150,7 +150,7 @@
                 await accept(discovery)
                 assert anyio.current_time() >= refused + REFUSED_PAUSE_ALONE_SECONDS * PAUSE_JITTER[0]
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_clients_are_let_in_after_the_first_list(tmp_path: Path) -> None:
@@ -158,7 +158,7 @@
 
     async def scene() -> None:
         asked_on = anyio.Event()
-        with listener(DISCOVERY) as discovery:
+        with listener(DISCOVERY_PORT) as discovery:
 
             async def answers() -> None:
                 watch = await accept(discovery)
@@ -173,23 +173,25 @@
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(answers)
-                async with edge(tmp_path, boxes=2) as made:
-                    asking = client(asked("a1"))
-                    server = await accept(made.other)
-                    await message(server)
+                async with proxy_harness(tmp_path, server_count=2) as made:
+                    asking = client(request_bytes("a1"))
+                    server = await accept(made.other_server_listener)
+                    await receive_message(server)
                     server.sendall(OK)
-                    assert (await message(asking)).endswith(b"\r\n\r\nok") and not waiting(made.box)
+                    assert (await receive_message(asking)).endswith(b"\r\n\r\nok") and not is_readable(
+                        made.server_listener
+                    )
                     await asked_on.wait()  # the scene's end would end the calls
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_service_that_counts_anew_is_asked_for_all(tmp_path: Path) -> None:
     """Without a move: it came back with a lower revision than it had."""
 
     async def scene() -> None:
-        with listener(DISCOVERY) as discovery:
-            async with edge(tmp_path) as made:
+        with listener(DISCOVERY_PORT) as discovery:
+            async with proxy_harness(tmp_path) as made:
                 watch = await accept(discovery)
                 await call(watch)
                 watch.sendall(page(90, member(1)))
@@ -199,7 +201,7 @@
                 watch.sendall(page(3, member(2), complete=True))
                 assert await call(watch) == 3 and phases(made) == {"s-2"}
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(
@@ -217,8 +219,8 @@
     """Nothing of it is believed, no request meets what it would break; the next call is made."""
 
     async def scene() -> None:
-        with listener(DISCOVERY) as discovery:
-            async with edge(tmp_path) as made:
+        with listener(DISCOVERY_PORT) as discovery:
+            async with proxy_harness(tmp_path) as made:
                 watch = await accept(discovery)
                 await call(watch)
                 watch.sendall(page(2, {**member(2), **fields}))
@@ -228,56 +230,56 @@
                     with pytest.raises((EOFError, ConnectionError)):
                         await call(watch)
                 assert phases(made) == {"s-1"}
-                await served(made, "a1")
+                await assert_serves_request(made, "a1")
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_two_changes_in_one_turn_hold_in_their_order(tmp_path: Path) -> None:
     async def scene() -> None:
-        with listener(DISCOVERY) as discovery:
-            async with edge(tmp_path) as made:
+        with listener(DISCOVERY_PORT) as discovery:
+            async with proxy_harness(tmp_path) as made:
                 watch = await accept(discovery)
                 await call(watch)
                 watch.sendall(page(2, member(1, phase="draining"), member(2)))
-                await until(lambda: waiting(watch))
+                await wait_until(lambda: is_readable(watch))
                 watch.sendall(page(3, member(2, phase="gone"), member(1)))
-                made.umpire.runtime.timers.call_after(0.0, lambda: None)
+                made.proxy.runtime.timers.call_after(0.0, lambda: None)
                 assert await call(watch) == 2
                 assert await call(watch) == 3 and phases(made) == {"s-1"}
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_server_that_drains_or_returns_while_it_carries_an_attempt_and_waits_idle(tmp_path: Path) -> None:
     """The attempt ends on its connection, which then ends; an idle one ends at once; none is reused."""
 
     async def scene() -> None:
-        async with edge(tmp_path) as made:
-            first, second = client(asked("a1")), client(asked("a2"))
-            servers = [await accept(made.box) for _ in range(2)]
+        async with proxy_harness(tmp_path) as made:
+            first, second = client(request_bytes("a1")), client(request_bytes("a2"))
+            servers = [await accept(made.server_listener) for _ in range(2)]
             for server in servers:
-                await message(server)
+                await receive_message(server)
             servers[0].sendall(OK)
-            await until(lambda: len(made.runtime.upstream.pools["s-1"].idle) == 1)
-            made.page(member(1, phase="draining"))
+            await wait_until(lambda: len(made.runtime.upstream.pools["s-1"].idle) == 1)
+            made.apply_endpoint_page(member(1, phase="draining"))
             with pytest.raises((EOFError, ConnectionError)):
-                await message(servers[0])
+                await receive_message(servers[0])
             servers[1].sendall(OK)
             for asking in (first, second):
-                assert (await message(asking)).endswith(b"\r\n\r\nok")
+                assert (await receive_message(asking)).endswith(b"\r\n\r\nok")
             with pytest.raises((EOFError, ConnectionError)):
-                await message(servers[1])
-            made.page(member(1, up=1_700_000_000_000))
-            first.sendall(asked("a3"))
-            server = await accept(made.box)
-            await message(server)
+                await receive_message(servers[1])
+            made.apply_endpoint_page(member(1, up=1_700_000_000_000))
+            first.sendall(request_bytes("a3"))
+            server = await accept(made.server_listener)
+            await receive_message(server)
             server.sendall(OK)
-            assert (await message(first)).endswith(
+            assert (await receive_message(first)).endswith(
                 b"\r\n\r\nok"
             ) and made.runtime.upstream.open_connections == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("fault", ["ended", "spoilt", "reset"])
@@ -315,7 +317,7 @@
     async def act(scene: Scene) -> None:
         discovery = scene.instance.discovery
         await anyio.sleep(max(0.0, max(fell, calls[0]) + NOTIFIED_AFTER_SECONDS - anyio.current_time()))
-        answer = await scene.request(asked("a1"))
+        answer = await scene.request(request_bytes("a1"))
         assert discovery.endpoints.revision == 9 or discovery.freshness.is_stale(scene.instance.clock()), (
             calls
         )
@@ -325,7 +327,7 @@
                 await anyio.sleep(0.01)
         assert not discovery.freshness.is_stale(scene.instance.clock())
 
-    play_virtual(tmp_path, answer_ok, act, {DISCOVERY: discovery})
+    play_virtual(tmp_path, answer_ok, act, {DISCOVERY_PORT: discovery})
 
 
 @pytest.mark.parametrize("end", ["reset", "refused"])
@@ -354,7 +356,7 @@
         assert min(pauses[8:]) >= PAUSE_JITTER[0] * LONGEST_PAUSE_SECONDS
         assert max(pauses) <= PAUSE_JITTER[1] * LONGEST_PAUSE_SECONDS + 0.1
 
-    play_virtual(tmp_path, never_answer, act, {DISCOVERY: discovery})
+    play_virtual(tmp_path, never_answer, act, {DISCOVERY_PORT: discovery})
 
 
 @pytest.mark.parametrize("wrapped", [False, True])
@@ -377,7 +379,7 @@
         real = scene.net.connect
 
         async def connect(address: str) -> Stream:
-            if not address.endswith(str(DISCOVERY)):
+            if not address.endswith(str(DISCOVERY_PORT)):
                 return await real(address)
             fault = OSError(number, "by the test")
             if wrapped:
@@ -387,7 +389,7 @@
         scene.net.connect = connect  # type: ignore[method-assign]
         await scene.instance.discovery.client.disconnect()
         await anyio.sleep(60)
-        answer = await scene.request(asked("a1"))
+        answer = await scene.request(request_bytes("a1"))
         assert answer.endswith(b"\r\n\r\nok") if served else answer.startswith(b"HTTP/1.1 503"), answer
 
     play_virtual(tmp_path, answer_ok, act)
--- a/tests/platform/test_release_controller.py
+++ b/tests/platform/test_release_controller.py
@@ -12,13 +12,13 @@
 from tests.support.platform_world import HOST
 from tests.support.race_scenes import (
     accept,
-    edge,
-    heard,
+    is_readable,
     listener,
-    play,
+    proxy_harness,
+    receive_until,
     reset,
-    until,
-    waiting,
+    run_scenario,
+    wait_until,
 )
 
 CONTROL, MOVED_CONTROL = 8102, 8112
@@ -26,7 +26,7 @@
 
 async def subscribed(control: socket.socket) -> socket.socket:
     watch = await accept(control)
-    await heard(watch, lambda data: data == b"NOTIFY\r\n")
+    await receive_until(watch, lambda data: data == b"NOTIFY\r\n")
     watch.sendall(b"OK\r\n")
     return watch
 
@@ -39,26 +39,30 @@
 
     async def scene() -> None:
         with listener(CONTROL) as control:
-            async with edge(tmp_path) as made:
+            async with proxy_harness(tmp_path) as made:
                 watch = await subscribed(control)
                 watch.sendall(b"* progress 42 1 IN_PROGRESS 0.35 10\r\n")
                 umpire = made.runtime.router
-                await until(lambda: umpire.releases.candidates[-1].build == 42)
-                made.umpire.release_controller.vote(42, 1, Vote.PROMOTE)
+                await wait_until(lambda: umpire.releases.candidates[-1].build == 42)
+                made.proxy.release_controller.vote(42, 1, Vote.PROMOTE)
                 vote = await accept(control)
-                await heard(vote, lambda data: data == b"BALLOT 42 1 go\r\n")
+                await receive_until(vote, lambda data: data == b"BALLOT 42 1 go\r\n")
                 if order == "answer first":
                     vote.sendall(b"OK 42 1 IN_PROGRESS 0.35 900\r\n")
                     watch.sendall(b"* progress 42 1 ROLLING_BACK 0 0\r\n")
                 else:
                     watch.sendall(b"* progress 42 1 ROLLING_BACK 0 0\r\n")
-                    await until(lambda: umpire.releases.candidates[-1].phase is ReleasePhase.ROLLING_BACK)
+                    await wait_until(
+                        lambda: umpire.releases.candidates[-1].phase is ReleasePhase.ROLLING_BACK
+                    )
                     vote.sendall(b"OK 42 1 IN_PROGRESS 0.35 900\r\n")
-                await until(lambda: waiting(vote))  # its connection was ended: the answer has been read
-                await until(lambda: umpire.releases.candidates[-1].phase is ReleasePhase.ROLLING_BACK)
+                await wait_until(
+                    lambda: is_readable(vote)
+                )  # its connection was ended: the answer has been read
+                await wait_until(lambda: umpire.releases.candidates[-1].phase is ReleasePhase.ROLLING_BACK)
                 assert umpire.releases.candidates[-1].exposure_limit == 0
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("cut", [0, 3, 20])
@@ -68,37 +72,37 @@
 ) -> None:
     async def scene() -> None:
         with listener(CONTROL) as control:
-            async with edge(tmp_path) as made:
+            async with proxy_harness(tmp_path) as made:
                 watch = await subscribed(control)
                 watch.sendall(b"* progress 42 1 IN_PROGRESS 0.35 10\r\n")
-                await until(lambda: made.runtime.router.releases.candidates[-1].build == 42)
+                await wait_until(lambda: made.runtime.router.releases.candidates[-1].build == 42)
                 failed: list[int] = []
                 made.runtime.router.vote_failed = failed.append
-                made.umpire.release_controller.vote(42, 1, Vote.PROMOTE)
+                made.proxy.release_controller.vote(42, 1, Vote.PROMOTE)
                 vote = await accept(control)
-                await heard(vote, lambda data: data.endswith(b"\r\n"))
+                await receive_until(vote, lambda data: data.endswith(b"\r\n"))
                 vote.sendall(b"OK 42 1 IN_PROGRESS 0.35 900\r\n"[:cut])
                 end(vote)
-                await until(lambda: failed == [42])
+                await wait_until(lambda: failed == [42])
                 watch.sendall(b"* progress 42 1 COMPLETE 1 0\r\n")
-                await until(
+                await wait_until(
                     lambda: made.runtime.router.releases.candidates[-1].phase is ReleasePhase.RELEASED
                 )
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_status_lines_that_cross_a_move_and_a_reset_are_heard_from_the_new_service(tmp_path: Path) -> None:
     async def scene() -> None:
         with listener(CONTROL) as control, listener(MOVED_CONTROL) as new:
-            async with edge(tmp_path) as made:
+            async with proxy_harness(tmp_path) as made:
                 watch = await subscribed(control)
                 watch.sendall(b"* progress 42 0 IN_PRO")
-                made.umpire.release_controller.change_address(f"{HOST}:{MOVED_CONTROL}")
+                made.proxy.release_controller.change_address(f"{HOST}:{MOVED_CONTROL}")
                 watch.sendall(b"GRESS 0.05 0\r\n")
                 reset(watch)
                 moved = await subscribed(new)
                 moved.sendall(b"* progress 42 1 IN_PROGRESS 0.35 0\r\n")
-                await until(lambda: made.runtime.router.releases.candidates[-1].stage == 1)
+                await wait_until(lambda: made.runtime.router.releases.candidates[-1].stage == 1)
 
-    play(scene)
+    run_scenario(scene)
--- a/tests/proxy/test_buffered_downstream.py
+++ b/tests/proxy/test_buffered_downstream.py
@@ -16,17 +16,17 @@
 from tests.support.platform_world import HOST, OK
 from tests.support.race_scenes import (
     accept,
-    asked,
+    assert_serves_request,
     client,
-    edge,
-    heard,
-    message,
-    play,
+    is_readable,
+    proxy_harness,
+    receive_message,
+    receive_until,
+    receive_until_eof,
+    request_bytes,
     reset,
-    rest,
-    served,
-    until,
-    waiting,
+    run_scenario,
+    wait_until,
 )
 
 ONCE = "submit-exam"
@@ -38,8 +38,11 @@
     ("data", "status"),
     [
         (b"nonsense\r\n\r\n", b"400"),
-        (asked("a1").replace(b"load-item", b"no-such"), b"404"),
-        (asked("a1", ONCE, body=b"x").replace(b"Content-Length: 1", b"Content-Length: 99999999"), b"413"),
+        (request_bytes("a1").replace(b"load-item", b"no-such"), b"404"),
+        (
+            request_bytes("a1", ONCE, body=b"x").replace(b"Content-Length: 1", b"Content-Length: 99999999"),
+            b"413",
+        ),
         (HEALTH.replace(b"Host: x", b"Host: x\r\nConnection: close"), b"200"),
     ],
 )
@@ -50,24 +53,24 @@
     answer (RFC 9112, 9.6)."""
 
     async def scene() -> None:
-        async with edge(tmp_path) as made:
+        async with proxy_harness(tmp_path) as made:
             asking = client(data)
-            await until(lambda: any(front.closed for front in made.umpire.listener.connections))
+            await wait_until(lambda: any(front.closed for front in made.proxy.listener.connections))
             asking.sendall(b"m" * more)
-            got = await rest(asking)
+            got = await receive_until_eof(asking)
             assert got.startswith(b"HTTP/1.1 " + status) and got.count(b"content-length: ") == 1
             asking.close()
-            await until(lambda: not made.umpire.listener.connections)
+            await wait_until(lambda: not made.proxy.listener.connections)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_client_that_sends_on_and_on_behind_its_error_is_cut_off(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with edge(tmp_path) as made:
+        async with proxy_harness(tmp_path) as made:
             asking = client(b"nonsense\r\n\r\n")
-            await until(lambda: any(front.closed for front in made.umpire.listener.connections))
-            (front,) = made.umpire.listener.connections
+            await wait_until(lambda: any(front.closed for front in made.proxy.listener.connections))
+            (front,) = made.proxy.listener.connections
             asking.setblocking(False)
             sent = 0
 
@@ -79,23 +82,23 @@
                     pass
                 except OSError:
                     return True
-                return not made.umpire.listener.connections
+                return not made.proxy.listener.connections
 
-            await until(more)
+            await wait_until(more)
             assert front.lingered_bytes <= MAX_LINGER_BYTES + 300_000 and sent > MAX_LINGER_BYTES
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_lingering_connection_ends_though_its_client_stays(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with edge(tmp_path) as made:
+        async with proxy_harness(tmp_path) as made:
             asking = client(b"nonsense\r\n\r\n")
-            await rest(asking)
-            await until(lambda: not made.umpire.listener.connections)
+            await receive_until_eof(asking)
+            await wait_until(lambda: not made.proxy.listener.connections)
             asking.close()
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("leave", [reset, socket.socket.close, lambda sock: sock.shutdown(socket.SHUT_WR)])
@@ -104,61 +107,66 @@
     tmp_path: Path, leave: Callable[[socket.socket], None], at: str
 ) -> None:
     """Nothing is left of it, nothing of it goes out afterwards, and others are served."""
-    data = asked("a1", ONCE, body=b"body")
+    data = request_bytes("a1", ONCE, body=b"body")
 
     async def scene() -> None:
-        async with edge(tmp_path) as made:
-            made.net.go = anyio.Event()
+        async with proxy_harness(tmp_path) as made:
+            made.net.connects_allowed = anyio.Event()
             asking = client({"part of a head": data[:30], "part of a body": data[:-1]}.get(at, data))
             if at.startswith("part"):
-                await until(lambda: any(not front.idle for front in made.umpire.listener.connections))
+                await wait_until(lambda: any(not front.idle for front in made.proxy.listener.connections))
             elif at == "connecting":
-                await until(lambda: made.net.dialling)
+                await wait_until(lambda: made.net.connects_started)
             else:
-                made.net.go.set()
-                box = await accept(made.box)
-                await message(box)
+                made.net.connects_allowed.set()
+                box = await accept(made.server_listener)
+                await receive_message(box)
                 if at == "answered":
                     box.sendall(OK)
             leave(asking)
-            await until(lambda: not made.umpire.listener.connections and not made.runtime.exchanges)
-            made.net.go.set()
+            await wait_until(lambda: not made.proxy.listener.connections and not made.runtime.exchanges)
+            made.net.connects_allowed.set()
             if at == "connecting":
-                box = await accept(made.box)  # kept for the next req
-                await until(lambda: made.runtime.upstream.pools["s-1"].idle)
-                assert not waiting(box)
+                box = await accept(made.server_listener)  # kept for the next req
+                await wait_until(lambda: made.runtime.upstream.pools["s-1"].idle)
+                assert not is_readable(box)
             made.runtime.upstream.remove_server("s-1")
-            assert not made.umpire.adapter.request_ids.in_flight
-            await served(made, "b1")
+            assert not made.proxy.adapter.request_ids.in_flight
+            await assert_serves_request(made, "b1")
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_room_is_made_by_those_that_are_done_and_then_by_the_silent(tmp_path: Path) -> None:
     """A connection that has begun to speak, and one with a req under way, stay."""
 
     async def scene() -> None:
-        async with edge(tmp_path) as made:
-            most = made.umpire.adapter.downstream_limits.max_connections
+        async with proxy_harness(tmp_path) as made:
+            most = made.proxy.adapter.downstream_limits.max_connections
             done = client(b"nonsense\r\n\r\n")
-            await until(lambda: any(front.closed for front in made.umpire.listener.connections))
-            busy, speaking = client(asked("a1", ONCE, body=b"x")), client(asked("a2", ONCE, body=b"x")[:-1])
+            await wait_until(lambda: any(front.closed for front in made.proxy.listener.connections))
+            busy, speaking = (
+                client(request_bytes("a1", ONCE, body=b"x")),
+                client(request_bytes("a2", ONCE, body=b"x")[:-1]),
+            )
             silent = [client() for _ in range(most - 3)]
-            await until(lambda: len(made.umpire.listener.connections) == most)
-            box = await accept(made.box)
-            await message(box)
+            await wait_until(lambda: len(made.proxy.listener.connections) == most)
+            box = await accept(made.server_listener)
+            await receive_message(box)
             newest = [client() for _ in range(5)]
-            await until(lambda: all(waiting(one) for one in [done, *silent[:4]]))
+            await wait_until(lambda: all(is_readable(one) for one in [done, *silent[:4]]))
             box.sendall(OK)
-            assert (await message(busy)).endswith(b"\r\n\r\nok")
+            assert (await receive_message(busy)).endswith(b"\r\n\r\nok")
             speaking.sendall(b"x")
-            box = await accept(made.box)
-            await message(box)
+            box = await accept(made.server_listener)
+            await receive_message(box)
             box.sendall(OK)
-            assert (await message(speaking)).endswith(b"\r\n\r\nok")
-            assert len(made.umpire.listener.connections) <= most and not any(waiting(one) for one in newest)
+            assert (await receive_message(speaking)).endswith(b"\r\n\r\nok")
+            assert len(made.proxy.listener.connections) <= most and not any(
+                is_readable(one) for one in newest
+            )
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("why", ["idle time", "room", "stop"])
@@ -166,38 +174,38 @@
     """It lies unheard at the socket in the turn in which the connection would be closed."""
 
     async def scene() -> None:
-        async with edge(tmp_path) as made:
+        async with proxy_harness(tmp_path) as made:
             asking = client(HEALTH)
-            await message(asking)
-            (front,) = made.umpire.listener.connections
+            await receive_message(asking)
+            (front,) = made.proxy.listener.connections
             front.idle_since -= 1.0
-            asking.sendall(asked("a1", ONCE, body=b"x"))
+            asking.sendall(request_bytes("a1", ONCE, body=b"x"))
             if why == "idle time":
                 front.check_deadline(front.deadline)
             elif why == "room":
-                made.umpire.listener.evict_idle_connection()
+                made.proxy.listener.evict_idle_connection()
             else:
-                made.umpire.listener.accept_scope.cancel()
+                made.proxy.listener.accept_scope.cancel()
                 front.close()
-            box = await accept(made.box)
-            await message(box)
+            box = await accept(made.server_listener)
+            await receive_message(box)
             box.sendall(OK)
-            assert (await message(asking)).endswith(b"\r\n\r\nok")
+            assert (await receive_message(asking)).endswith(b"\r\n\r\nok")
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_client_that_asks_on_and_reads_nothing_is_cut_off(tmp_path: Path) -> None:
     """What waits for it stays bounded, and usual clients are served beside it."""
 
     async def scene() -> None:
-        async with edge(tmp_path) as made:
+        async with proxy_harness(tmp_path) as made:
             asking = socket.socket()
             asking.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             asking.connect((HOST, 8100))
             asking.setblocking(False)
-            await until(lambda: made.umpire.listener.connections)
-            (front,) = made.umpire.listener.connections
+            await wait_until(lambda: made.proxy.listener.connections)
+            (front,) = made.proxy.listener.connections
             most = 0
 
             def more() -> bool:
@@ -209,37 +217,37 @@
                 except OSError:
                     return True
                 most = max(most, front.transport.unsent_bytes)
-                return front not in made.umpire.listener.connections
+                return front not in made.proxy.listener.connections
 
-            await until(more)
+            await wait_until(more)
             assert most <= MAX_UNSENT_RESPONSE_BYTES + 1000
-            await served(made, "b1")
+            await assert_serves_request(made, "b1")
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_slow_silent_and_pipelining_clients_beside_usual_ones(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with edge(tmp_path) as made:
-            most = made.umpire.adapter.downstream_limits.max_connections
+        async with proxy_harness(tmp_path) as made:
+            most = made.proxy.adapter.downstream_limits.max_connections
             flood = [client() for _ in range(3 * most)]
             slow = client()
             piped = client(HEALTH * 300)
-            data = asked("s1")
+            data = request_bytes("s1")
             for at in range(len(data)):
                 slow.sendall(data[at : at + 1])
                 if at % 20 == 0:
-                    await served(made, f"u{at}")
+                    await assert_serves_request(made, f"u{at}")
                 await anyio.sleep(0)
-            box = await accept(made.box)
-            await message(box)
+            box = await accept(made.server_listener)
+            await receive_message(box)
             box.sendall(OK)
-            assert (await message(slow)).endswith(b"\r\n\r\nok")
-            await heard(piped, lambda got: got.count(b"HTTP/1.1 200") == 300)
-            assert len(made.umpire.listener.connections) <= most
+            assert (await receive_message(slow)).endswith(b"\r\n\r\nok")
+            await receive_until(piped, lambda got: got.count(b"HTTP/1.1 200") == 300)
+            assert len(made.proxy.listener.connections) <= most
             assert all(one.fileno() >= 0 for one in flood)
 
-    play(scene)
+    run_scenario(scene)
 
 
 @settings(max_examples=15, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
@@ -247,42 +255,42 @@
 def test_a_req_cut_anywhere_is_taken_once_or_not_at_all(
     tmp_path: Path, cuts: list[int], leave: Callable[[socket.socket], None]
 ) -> None:
-    data = asked("a1", ONCE, body=b"body" * 5)
+    data = request_bytes("a1", ONCE, body=b"body" * 5)
 
     async def scene() -> None:
-        async with edge(tmp_path) as made:
+        async with proxy_harness(tmp_path) as made:
             asking, at = client(), 0
             for cut in sorted(cuts):
                 asking.sendall(data[at:cut])
                 at = max(at, cut)
                 await anyio.sleep(0)
             if at >= len(data):
-                box = await accept(made.box)
-                assert (await message(box)).endswith(b"body")
+                box = await accept(made.server_listener)
+                assert (await receive_message(box)).endswith(b"body")
                 box.sendall(OK)
-                assert (await message(asking)).endswith(b"\r\n\r\nok")
+                assert (await receive_message(asking)).endswith(b"\r\n\r\nok")
             leave(asking)
-            await until(lambda: not made.umpire.listener.connections and not made.runtime.exchanges)
+            await wait_until(lambda: not made.proxy.listener.connections and not made.runtime.exchanges)
             assert made.runtime.request_count == (at >= len(data))
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_request_on_a_connection_beyond_the_bound_gets_its_answer(tmp_path: Path) -> None:
     """It was written to a connection that this machine accepted: a close without an answer would lose it."""
 
     async def scene() -> None:
-        async with edge(tmp_path) as made:
+        async with proxy_harness(tmp_path) as made:
             bounds = made.runtime.adapter.downstream_limits
             made.runtime.adapter.downstream_limits = replace(bounds, max_connections=2)
-            busy = [client(asked(f"a{number}")) for number in range(2)]
-            servers = [await accept(made.box) for _ in busy]
-            beyond = client(asked("a9"))
-            assert (await message(beyond)).startswith(b"HTTP/1.1 503")
-            assert await rest(beyond) == b"" and not waiting(made.box)
+            busy = [client(request_bytes(f"a{number}")) for number in range(2)]
+            servers = [await accept(made.server_listener) for _ in busy]
+            beyond = client(request_bytes("a9"))
+            assert (await receive_message(beyond)).startswith(b"HTTP/1.1 503")
+            assert await receive_until_eof(beyond) == b"" and not is_readable(made.server_listener)
             for server, asking in zip(servers, busy, strict=True):
-                await message(server)
+                await receive_message(server)
                 server.sendall(OK)
-                assert (await message(asking)).endswith(b"\r\n\r\nok")
+                assert (await receive_message(asking)).endswith(b"\r\n\r\nok")
 
-    play(scene)
+    run_scenario(scene)
--- a/tests/support/race_scenes.py
+++ b/tests/support/race_scenes.py
@@ -29,16 +29,16 @@
 from gullmount.platform.instance import PlatformInstance
 from gullmount.proxy.runtime import BufferedRuntime
 from tests.support.platform_world import HOST, OK, SETTINGS, configuration, endpoint_entry
-from tests.support.platform_world import request_bytes as request_bytes_within
+from tests.support.platform_world import request_bytes as platform_request_bytes
 
-LIST_WITHIN = 0.5  # s for the first list: most scenes here have no discovery that answers
-WITHIN = 10.0  # s in which what must become true does, also on a busy machine
-PATIENT = 60.0  # s of clients and of routes here: no order hangs on how fast the machine is
-UMPIRE, DISCOVERY, BOX, OTHER = 8100, 8101, 8200, 8201
+FIRST_LIST_TIMEOUT_SECONDS = 0.5  # s for the first list: most scenes here have no discovery that answers
+WAIT_TIMEOUT_SECONDS = 10.0  # s in which what must become true does, also on a busy machine
+CLIENT_TIMEOUT_SECONDS = 60.0  # s of clients and of routes here: no order hangs on how fast the machine is
+PROXY_PORT, DISCOVERY_PORT, SERVER_PORT, OTHER_SERVER_PORT = 8100, 8101, 8200, 8201
 
 
-def asked(mark: str, route: str = "load-item", body: bytes = b"") -> bytes:
-    return request_bytes_within(mark, route, f"{PATIENT * 1000:.0f}", body)
+def request_bytes(mark: str, route: str = "load-item", body: bytes = b"") -> bytes:
+    return platform_request_bytes(mark, route, f"{CLIENT_TIMEOUT_SECONDS * 1000:.0f}", body)
 
 
 def listener(port: int) -> socket.socket:
@@ -49,7 +49,7 @@
     return made
 
 
-def client(data: bytes = b"", port: int = UMPIRE) -> socket.socket:
+def client(data: bytes = b"", port: int = PROXY_PORT) -> socket.socket:
     """Connected, and `data` written, before the umpire's loop runs again."""
     made = socket.create_connection((HOST, port))
     if data:
@@ -63,27 +63,27 @@
     sock.close()
 
 
-def waiting(sock: socket.socket) -> bool:
+def is_readable(sock: socket.socket) -> bool:
     """Whether a connection, bytes or an end wait there."""
     return bool(select.select([sock], [], [], 0)[0])
 
 
-async def until(true: Callable[[], object]) -> None:
-    with anyio.fail_after(WITHIN):
+async def wait_until(true: Callable[[], object]) -> None:
+    with anyio.fail_after(WAIT_TIMEOUT_SECONDS):
         while not true():
             await anyio.sleep(0.001)
 
 
 async def accept(sock: socket.socket) -> socket.socket:
-    await until(lambda: waiting(sock))
+    await wait_until(lambda: is_readable(sock))
     return sock.accept()[0]
 
 
-async def heard(sock: socket.socket, enough: Callable[[bytes], bool]) -> bytes:
+async def receive_until(sock: socket.socket, enough: Callable[[bytes], bool]) -> bytes:
     """What comes until it is enough. Raises EOFError at an earlier end, ConnectionError at a reset."""
     data = b""
     while not enough(data):
-        await until(lambda: waiting(sock))
+        await wait_until(lambda: is_readable(sock))
         more = sock.recv(65536)
         if not more:
             raise EOFError(data)
@@ -91,7 +91,7 @@
     return data
 
 
-async def message(sock: socket.socket) -> bytes:
+async def receive_message(sock: socket.socket) -> bytes:
     """Head and body; a body has a told length here."""
 
     def whole(data: bytes) -> bool:
@@ -99,114 +99,120 @@
         _, _, length = head.lower().partition(b"content-length: ")
         return bool(found) and len(body) >= int(length.split(b"\r\n")[0] or 0)
 
-    return await heard(sock, whole)
+    return await receive_until(sock, whole)
 
 
-async def rest(sock: socket.socket) -> bytes:
+async def receive_until_eof(sock: socket.socket) -> bytes:
     """All until the other side's end. Raises ConnectionError at a reset."""
     data = b""
     while True:
-        await until(lambda: waiting(sock))
+        await wait_until(lambda: is_readable(sock))
         more = sock.recv(65536)
         if not more:
             return data
         data += more
 
 
-class HeldNet(TcpNet):
+class HeldConnectNet(TcpNet):
     """Connections to boxes come up, and are handed over, only when the test says so."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.go, self.hand_over = anyio.Event(), anyio.Event()
-        self.go.set()
-        self.hand_over.set()
-        self.dialling = 0
+        self.connects_allowed, self.handover_allowed = anyio.Event(), anyio.Event()
+        self.connects_allowed.set()
+        self.handover_allowed.set()
+        self.connects_started = 0
 
     async def connect_transport(self, address: str, hearer: TransportProtocol) -> Transport:
-        self.dialling += 1
-        await self.go.wait()
+        self.connects_started += 1
+        await self.connects_allowed.wait()
         conduit = await super().connect_transport(address, hearer)
-        await self.hand_over.wait()
+        await self.handover_allowed.wait()
         return conduit
 
 
-class Edge:
+class ProxyHarness:
     """`box` and `other` listen for the umpire's connections to the boxes `s-1` and `s-2`."""
 
-    def __init__(self, umpire: PlatformInstance, net: HeldNet, log: list[str], path: Path) -> None:
-        self.umpire, self.net, self.log, self.path = umpire, net, log, path
-        self.box, self.other = listener(BOX), listener(OTHER)
+    def __init__(self, umpire: PlatformInstance, net: HeldConnectNet, log: list[str], path: Path) -> None:
+        self.proxy, self.net, self.log, self.path = umpire, net, log, path
+        self.server_listener, self.other_server_listener = listener(SERVER_PORT), listener(OTHER_SERVER_PORT)
 
     @property
     def runtime(self) -> BufferedRuntime:
-        return self.umpire.runtime
+        return self.proxy.runtime
 
-    def page(self, *members: dict[str, Any], complete: bool = False) -> None:
+    def apply_endpoint_page(self, *members: dict[str, Any], complete: bool = False) -> None:
         """A change of the list has just been read."""
         told = {"revision": 9, "complete": complete, "members": list(members)}
         page = msgspec.convert(told, type=EndpointPage)
-        self.umpire.discovery.apply_page(
+        self.proxy.discovery.apply_page(
             page, EndpointUpdateKind.SNAPSHOT if complete else EndpointUpdateKind.UPDATE
         )
 
-    async def ask(self, data: bytes) -> bytes:
+    async def send_request(self, data: bytes) -> bytes:
         """One req on a connection of its own."""
         sock = client(data)
         try:
-            return await message(sock)
+            return await receive_message(sock)
         finally:
             sock.close()
 
 
 def member(number: int, **fields: Any) -> dict[str, Any]:
-    return endpoint_entry(f"s-{number}", f"{HOST}:{BOX + number - 1}", **fields)
+    return endpoint_entry(f"s-{number}", f"{HOST}:{SERVER_PORT + number - 1}", **fields)
 
 
 @asynccontextmanager
-async def edge(
-    folder: Path, boxes: int = 1, settings: dict[str, Any] | None = None, **changes: Any
-) -> AsyncIterator[Edge]:
+async def proxy_harness(
+    folder: Path, server_count: int = 1, settings: dict[str, Any] | None = None, **changes: Any
+) -> AsyncIterator[ProxyHarness]:
     path = folder / "config.json"
-    known = {"revision": 1, "complete": True, "members": [member(number + 1) for number in range(boxes)]}
+    known = {
+        "revision": 1,
+        "complete": True,
+        "members": [member(number + 1) for number in range(server_count)],
+    }
     settings = deepcopy(settings or SETTINGS)
     for grade in settings["Grades"]:
-        grade["DeadlineUs"] = PATIENT * 1e6
+        grade["DeadlineUs"] = CLIENT_TIMEOUT_SECONDS * 1e6
     told = configuration(known=known, settings=settings, peer_listen=None, peers=[], **changes)
     path.write_text(json.dumps(told))
-    net, log = HeldNet(), list[str]()
+    net, log = HeldConnectNet(), list[str]()
     async with anyio.create_task_group() as tasks:
         umpire = PlatformInstance(
             read_configuration({"PROXY_CONFIG": str(path)}),
             net,
             lambda event, **fields: log.append(f"{event} {fields}"),
-            first_list_timeout=LIST_WITHIN,
+            first_list_timeout=FIRST_LIST_TIMEOUT_SECONDS,
         )
-        made = Edge(umpire, net, log, path)
+        made = ProxyHarness(umpire, net, log, path)
         try:
             await umpire.serve(tasks)
             made.runtime.router.endpoints_are_stale = (
                 never_stale  # what these scenes cross is not the list's age
             )
-            made.runtime.upstream.limits = replace(made.runtime.upstream.limits, connect_timeout=WITHIN)
+            made.runtime.upstream.limits = replace(
+                made.runtime.upstream.limits, connect_timeout=WAIT_TIMEOUT_SECONDS
+            )
             yield made
         finally:
-            made.box.close()
-            made.other.close()
+            made.server_listener.close()
+            made.other_server_listener.close()
             umpire.listener.accept_scope.cancel()
             tasks.cancel_scope.cancel()
 
 
-async def served(scene: Edge, mark: str) -> None:
+async def assert_serves_request(scene: ProxyHarness, mark: str) -> None:
     """A usual client's req, sent and answered."""
-    asking = client(asked(mark))
-    box = await accept(scene.box)
-    await message(box)
+    asking = client(request_bytes(mark))
+    box = await accept(scene.server_listener)
+    await receive_message(box)
     box.sendall(OK)
-    assert (await message(asking)).endswith(b"\r\n\r\nok")
+    assert (await receive_message(asking)).endswith(b"\r\n\r\nok")
     asking.close()
     box.close()
 
 
-def play(scene: Callable[[], Awaitable[None]]) -> None:
+def run_scenario(scene: Callable[[], Awaitable[None]]) -> None:
     anyio.run(scene, backend_options={"use_uvloop": True})
