--- a/gullmount/proxy/buffered_downstream.py
+++ b/gullmount/proxy/buffered_downstream.py
@@ -76,8 +76,8 @@
         self.requests_accepted = 0
         self.closed = False
         self.lingered_bytes = 0
-        self.advancing = False
-        self.paused = False
+        self.processing_parts = False
+        self.reading_paused = False
 
     @property
     def busy(self) -> bool:
@@ -107,13 +107,13 @@
         self.parser.feed(data)
         self.data_arrived_at = self.runtime.stalls.arrival_time(self.transport.seconds_since_data)
         if self.exchange is None:
-            self.runtime.stalls.call_when_resumed(self.advance)
-        elif not self.paused and self.has_read_too_far:
-            self.paused = True
+            self.runtime.stalls.call_when_resumed(self.process_parts)
+        elif not self.reading_paused and self.read_ahead_is_full:
+            self.reading_paused = True
             self.transport.pause_reading()
 
     @property
-    def has_read_too_far(self) -> bool:
+    def read_ahead_is_full(self) -> bool:
         """Whether what was read behind the request in flight is at its limit."""
         return self.bytes_read_ahead > MAX_READ_AHEAD_BYTES or len(self.parser.parts) > MAX_READ_AHEAD_PARTS
 
@@ -172,22 +172,22 @@
 
     # Reading requests.
 
-    def advance(self) -> None:
+    def process_parts(self) -> None:
         """Accept what was read, one request after the other, until one is in flight or nothing is left."""
-        if self.advancing:
+        if self.processing_parts:
             return
-        self.advancing = True
+        self.processing_parts = True
         try:
             while self.exchange is None and not self.closed and self.parser.parts:
                 self.read_part()
             if self.exchange is None and not self.closed:
-                self.all_parts_read()
+                self.finish_processing()
         except ProtocolError as error:
             self.send_error(error)
         finally:
-            self.advancing = False
+            self.processing_parts = False
 
-    def all_parts_read(self) -> None:
+    def finish_processing(self) -> None:
         """Nothing that was read is left. Raises ProtocolError where the parser found an error behind it."""
         if self.parser.error is not None:
             raise self.parser.error
@@ -263,23 +263,25 @@
         self.write_response(response, headers, omit_body=exchange.head.method == "HEAD")
         if self.closed:
             return
-        if self.paused:
-            self.paused = False
+        if self.reading_paused:
+            self.reading_paused = False
             self.transport.resume_reading()
-        self.advance()
+        self.process_parts()
 
     def write_response(self, response: Response, headers: Headers, omit_body: bool) -> None:
         """Write a response and get ready for the next request, or end the connection."""
-        framed = [pair for pair in headers if pair[0] != b"content-length"]
+        framed_headers = [pair for pair in headers if pair[0] != b"content-length"]
         is_last = self.runtime.shutting_down or not self.parser.keep_alive
         if is_last:
-            framed.append(CLOSE_HEADER)
+            framed_headers.append(CLOSE_HEADER)
         body = response.body
         if omit_body or response.status in BODYLESS_STATUSES:
             body = b""
         else:
-            framed.append((b"content-length", b"%d" % len(body)))
-        self.send_response_bytes(encode_response_head(response.status, response.reason, framed) + body)
+            framed_headers.append((b"content-length", b"%d" % len(body)))
+        self.send_response_bytes(
+            encode_response_head(response.status, response.reason, framed_headers) + body
+        )
         if is_last or self.closed:
             self.close()
             return
--- a/gullmount/proxy/downstream.py
+++ b/gullmount/proxy/downstream.py
@@ -42,9 +42,9 @@
 
 def encode_response(response: Response, headers: Headers) -> bytes:
     """Encode a response whose body is complete."""
-    framed = [pair for pair in headers if pair[0] != b"content-length"]
-    framed.append((b"content-length", b"%d" % len(response.body)))
-    return encode_response_head(response.status, response.reason, framed) + response.body
+    framed_headers = [pair for pair in headers if pair[0] != b"content-length"]
+    framed_headers.append((b"content-length", b"%d" % len(response.body)))
+    return encode_response_head(response.status, response.reason, framed_headers) + response.body
 
 
 def encode_error(error: ProtocolError, headers: Headers) -> bytes:
--- a/gullmount/proxy/generic_adapter.py
+++ b/gullmount/proxy/generic_adapter.py
@@ -57,7 +57,7 @@
         self.instance_headers = [(b"gullmount-umpire", b"%d" % config.number)]
         self.not_begun_header = servers.not_begun_header.encode()
 
-    def route_of(self, head: RequestHead) -> RouteConfig | None:
+    def find_route(self, head: RequestHead) -> RouteConfig | None:
         """Return the first route whose method, path and headers the request matches."""
         for route, pattern in self.routes:
             match = route.match
@@ -78,14 +78,14 @@
 
         A request of a deduplicated route that does not name itself goes out once only.
         """
-        route = self.route_of(head)
+        route = self.find_route(head)
         if route is None:
             raise ProtocolError(NOT_FOUND, "no route for this method and path")
-        unnamed = route.dedupe_mark is not None and head.get(route.dedupe_mark) is None
+        lacks_dedupe_mark = route.dedupe_mark is not None and head.get(route.dedupe_mark) is None
         at_most_once_route = route.name + AT_MOST_ONCE_SUFFIX
         clients = self.config.clients
         return RequestMetadata(
-            route=at_most_once_route if unnamed else route.name,
+            route=at_most_once_route if lacks_dedupe_mark else route.name,
             at_most_once_route=at_most_once_route,
             affinity_key=affinity_key(head, self.config.key),
             timeout=request_timeout(head, clients.patience_header, route.timeout) - clients.margin,
--- a/gullmount/proxy/http1.py
+++ b/gullmount/proxy/http1.py
@@ -15,8 +15,10 @@
 from gullmount.errors import GullmountError
 from gullmount.proxy.messages import Headers, RequestHead, Response, framing_problem
 
-TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")  # RFC 9110, 5.6.2
-CONTROL = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")  # not allowed in a header's value or a target
+TOKEN_PATTERN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")  # RFC 9110, 5.6.2
+CONTROL_CHARACTER_PATTERN = re.compile(
+    rb"[\x00-\x08\x0a-\x1f\x7f]"
+)  # not allowed in a header's value or a target
 BODYLESS_STATUSES = (204, 304)
 FIRST_FINAL_STATUS = 200  # a lower status announces another head
 SWITCHING_PROTOCOLS = 101
@@ -66,8 +68,8 @@
 
     error_type: type[ProtocolError] = ProtocolError
 
-    def __init__(self, head_most: int) -> None:
-        self.max_head_bytes = head_most
+    def __init__(self, max_head_size: int) -> None:
+        self.max_head_bytes = max_head_size
         self.parts: deque[MessagePart] = deque()
         self.error: ProtocolError | None = None
         self.in_head = True
@@ -116,7 +118,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """One header."""
-        if not TOKEN.fullmatch(name) or CONTROL.search(value):
+        if not TOKEN_PATTERN.fullmatch(name) or CONTROL_CHARACTER_PATTERN.search(value):
             self.fail(BAD_REQUEST, "not HTTP/1.1: a header is malformed")
         self.headers.append((name.lower(), value.strip(b" \t")))
 
@@ -128,8 +130,8 @@
 class RequestParser(MessageParser):
     """Parses the requests of one client connection, one after the other."""
 
-    def __init__(self, head_most: int) -> None:
-        super().__init__(head_most)
+    def __init__(self, max_head_size: int) -> None:
+        super().__init__(max_head_size)
         self.parser = self.request_parser = httptools.HttpRequestParser(self)
         self.expects_continue = False  # the client waits for 100 Continue before it sends the body
         self.in_message = False  # a request has begun and has not been read to its end
@@ -148,7 +150,7 @@
         problem = framing_problem(self.headers)
         if version == "1.1" and head.get("host") is None:
             problem = "no Host"
-        if version not in ("1.0", "1.1") or not self.target or CONTROL.search(self.target):
+        if version not in ("1.0", "1.1") or not self.target or CONTROL_CHARACTER_PATTERN.search(self.target):
             problem = "not HTTP/1.1"
         if problem is not None:
             self.fail(BAD_REQUEST, problem)
@@ -179,8 +181,8 @@
 
     error_type = ResponseError
 
-    def __init__(self, head_most: int, method: str) -> None:
-        super().__init__(head_most)
+    def __init__(self, max_head_size: int, method: str) -> None:
+        super().__init__(max_head_size)
         self.parser = self.response_parser = httptools.HttpResponseParser(self)
         self.bodyless = method == "HEAD"
         self.delimited_by_close = False  # only the connection's end ends the body
@@ -205,12 +207,12 @@
         if status < FIRST_FINAL_STATUS:
             return
         names = [name for name, _ in self.headers]
-        framed = b"content-length" in names or b"transfer-encoding" in names
+        has_explicit_length = b"content-length" in names or b"transfer-encoding" in names
         if self.bodyless:  # the parser would wait for the body that the head of a response to HEAD announces
             self.parts.append(END_OF_MESSAGE)
             self.finished = True
         else:
-            self.delimited_by_close = not framed and status not in BODYLESS_STATUSES
+            self.delimited_by_close = not has_explicit_length and status not in BODYLESS_STATUSES
             self.keep_alive = self.parser.should_keep_alive() and not self.delimited_by_close
 
     def on_message_complete(self) -> None:
--- a/gullmount/proxy/listener.py
+++ b/gullmount/proxy/listener.py
@@ -14,7 +14,7 @@
 from gullmount.proxy.runtime import ProxyRuntime
 from gullmount.proxy.streaming_downstream import StreamingDownstream
 
-SHUTDOWN_POLL_SECONDS = 0.01  # between looks whether the last responses have left
+SHUTDOWN_POLL_INTERVAL_SECONDS = 0.01  # between looks whether the last responses have left
 SHUTDOWN_IDLE_SECONDS = 0.1  # without a byte before an idle connection ends: a request may be on its way
 MAX_OVERFLOW_CONNECTIONS = 32  # beyond the limit, held for one response each: a request may be here already
 SWEEP_INTERVAL_SECONDS = 0.2
@@ -48,14 +48,14 @@
 
         Those that never sent a request go first: some clients connect by the hundred and say nothing.
         """
-        idle = [one for one in self.connections if one.idle and not one.busy]
-        return sorted(idle, key=lambda one: (one.requests_accepted > 0, one.idle_since))
+        idle = [conn for conn in self.connections if conn.idle and not conn.busy]
+        return sorted(idle, key=lambda conn: (conn.requests_accepted > 0, conn.idle_since))
 
     def remove_connection(self, connection: ConnectionT) -> None:
         """The connection has ended, or counts as ended though its end has not been reported yet."""
         self.connections.pop(connection, None)
 
-    async def stop(self, after: float = 0.0, within: float = 0.0) -> None:
+    async def stop(self, accept_seconds: float = 0.0, read_seconds: float = 0.0) -> None:
         """Shut down gracefully: refuse connections and wait until each accepted request has its response.
 
         Connections are accepted for `after` seconds more; for `within` seconds after that, requests that
@@ -63,28 +63,28 @@
         """
         self.runtime.log_event(LogEvent.SHUTDOWN_STARTED, open_requests=len(self.runtime.exchanges))
         self.runtime.shutting_down = True
-        await anyio.sleep(after)
+        await anyio.sleep(accept_seconds)
         self.accept_scope.cancel()
         if self.listening.is_set():
             await self.closed.wait()  # the kernel accepts until then, and what it accepted is served
         self.runtime.refuses_requests = True
-        await self.wait_for_unread_requests(within)
+        await self.wait_for_unread_requests(read_seconds)
         for connection in list(self.connections):
             connection.reject_unread_request()
         await self.runtime.wait_until_idle()
         while any(connection.busy for connection in self.connections):  # bounded by the write timeout
-            await anyio.sleep(SHUTDOWN_POLL_SECONDS)
+            await anyio.sleep(SHUTDOWN_POLL_INTERVAL_SECONDS)
         self.runtime.log_event(LogEvent.SHUTDOWN_COMPLETE)
 
-    async def wait_for_unread_requests(self, within: float) -> None:
+    async def wait_for_unread_requests(self, read_seconds: float) -> None:
         """Wait up to `within` seconds until no connection is left, closing those that stay idle."""
-        until = self.runtime.now() + within
-        while within and self.connections and self.runtime.now() < until:
-            idle_before = self.runtime.now() - SHUTDOWN_IDLE_SECONDS
+        deadline = self.runtime.now() + read_seconds
+        while read_seconds and self.connections and self.runtime.now() < deadline:
+            idle_cutoff = self.runtime.now() - SHUTDOWN_IDLE_SECONDS
             for connection in list(self.connections):
-                if connection.idle and not connection.busy and connection.idle_since < idle_before:
+                if connection.idle and not connection.busy and connection.idle_since < idle_cutoff:
                     connection.close()
-            await anyio.sleep(SHUTDOWN_POLL_SECONDS)
+            await anyio.sleep(SHUTDOWN_POLL_INTERVAL_SECONDS)
 
 
 class StreamingListener(Listener[StreamingDownstream]):
@@ -93,10 +93,10 @@
     async def listen(self, address: str) -> None:
         """Accept connections until `accept_scope` is cancelled. Raises OSError for an unusable address."""
         with self.accept_scope:
-            await self.net.serve(address, self.accepted, self.listening)
+            await self.net.serve(address, self.start_serving, self.listening)
         self.closed.set()
 
-    async def accepted(self, stream: Stream) -> None:
+    async def start_serving(self, stream: Stream) -> None:
         """Serve the connection in a task that outlives the listening."""
         self.task_group.start_soon(self.serve_connection, stream)
 
@@ -155,10 +155,10 @@
         One that only waits for its client to close goes first. An idle one whose client has just sent
         something that has not been read stays, and the next one goes.
         """
-        delivered = next((one for one in self.connections if one.response_delivered), None)
-        if delivered is not None:
-            delivered.abort()
-            self.remove_connection(delivered)
+        finished_connection = next((conn for conn in self.connections if conn.response_delivered), None)
+        if finished_connection is not None:
+            finished_connection.abort()
+            self.remove_connection(finished_connection)
             return
         for connection in self.idle_connections():
             connection.close()
--- a/gullmount/proxy/messages.py
+++ b/gullmount/proxy/messages.py
@@ -11,7 +11,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -28,7 +28,7 @@
 DISPOSITION_HEADER = b"gullmount-answer"  # completed, shed or errored; a server's own is removed
 MAX_AFFINITY_KEY_CHARACTERS = 256  # a longer key is cut: a hostile one must not fill the memory
 SERVICE_UNAVAILABLE = 503
-BODIES = {503: b"shed, try again later\n", 502: b"errored\n", 504: b"errored, in time for the client\n"}
+ERROR_BODIES = {503: b"shed, try again later\n", 502: b"errored\n", 504: b"errored, in time for the client\n"}
 REASON_PHRASES = {502: b"Bad Gateway", 503: b"Service Unavailable", 504: b"Gateway Timeout"}
 MAX_TIMEOUT_DIGITS = 9  # of milliseconds: over 11 days
 
@@ -45,13 +45,13 @@
 
     def get(self, name: str) -> str | None:
         """Return the value of the first header of this lower-case name, if any."""
-        wanted = name.encode()
-        return next((value.decode("latin-1") for field, value in self.headers if field == wanted), None)
+        encoded_name = name.encode()
+        return next((value.decode("latin-1") for field, value in self.headers if field == encoded_name), None)
 
     def get_single(self, name: str) -> str | None:
         """Return the header's value if the header occurs exactly once."""
-        wanted = name.encode()
-        values = [value for field, value in self.headers if field == wanted]
+        encoded_name = name.encode()
+        values = [value for field, value in self.headers if field == encoded_name]
         return values[0].decode("latin-1") if len(values) == 1 else None
 
 
@@ -80,14 +80,16 @@
 
 def connection_options(headers: Sequence[tuple[bytes, bytes]]) -> set[bytes]:
     """Return the headers that Connection names, which are for one hop only."""
-    named = b",".join(value for name, value in headers if name == b"connection")
-    return {part.strip().lower() for part in named.split(b",")}
+    connection_values = b",".join(value for name, value in headers if name == b"connection")
+    return {part.strip().lower() for part in connection_values.split(b",")}
 
 
 def end_to_end_headers(headers: Sequence[tuple[bytes, bytes]]) -> Headers:
     """Return the headers without those of one hop."""
-    drop = HOP_BY_HOP | connection_options(headers)
-    return [(name, value) for name, value in headers if name not in drop and name != DISPOSITION_HEADER]
+    excluded_names = HOP_BY_HOP_HEADERS | connection_options(headers)
+    return [
+        (name, value) for name, value in headers if name not in excluded_names and name != DISPOSITION_HEADER
+    ]
 
 
 def framing_problem(headers: Sequence[tuple[bytes, bytes]]) -> str | None:
@@ -110,23 +112,23 @@
     for field, value in head.headers:
         if field == b"cookie":
             for part in value.decode("latin-1").split(";"):
-                key, found, rest = part.strip().partition("=")
-                if found and key == name:
-                    return rest.strip('"')
+                key, separator, text = part.strip().partition("=")
+                if separator and key == name:
+                    return text.strip('"')
     return None
 
 
-def affinity_key(head: RequestHead, places: Sequence[AffinityKeyConfig]) -> str | None:
+def affinity_key(head: RequestHead, sources: Sequence[AffinityKeyConfig]) -> str | None:
     """Return the request's affinity key from the first place that holds one."""
-    for place in places:
+    for source in sources:
         key = None
-        if place.header is not None:
-            key = head.get(place.header)
-        if not key and place.cookie is not None:
-            key = cookie_value(head, place.cookie)
-        if not key and place.segment is not None:
-            parts = head.target.partition("?")[0].split("/")[1:]
-            key = unquote(parts[place.segment]) if place.segment < len(parts) else None
+        if source.header is not None:
+            key = head.get(source.header)
+        if not key and source.cookie is not None:
+            key = cookie_value(head, source.cookie)
+        if not key and source.segment is not None:
+            segments = head.target.partition("?")[0].split("/")[1:]
+            key = unquote(segments[source.segment]) if source.segment < len(segments) else None
         if key:
             return key[:MAX_AFFINITY_KEY_CHARACTERS]
     return None
@@ -152,7 +154,7 @@
     return Response(
         SERVICE_UNAVAILABLE,
         headers,
-        BODIES[SERVICE_UNAVAILABLE],
+        ERROR_BODIES[SERVICE_UNAVAILABLE],
         REASON_PHRASES[SERVICE_UNAVAILABLE],
         b"shed",
     )
@@ -161,5 +163,5 @@
 def failure_response(status: int) -> Response:
     """Return the proxy's own response to a failed request, 502 or 504."""
     return Response(
-        status, [(b"content-type", b"text/plain")], BODIES[status], REASON_PHRASES[status], b"errored"
+        status, [(b"content-type", b"text/plain")], ERROR_BODIES[status], REASON_PHRASES[status], b"errored"
     )
--- a/gullmount/proxy/read_ahead.py
+++ b/gullmount/proxy/read_ahead.py
@@ -27,12 +27,12 @@
         self.arrival_time = arrival_time
         self.received_at = 0.0
         self.chunks: deque[bytes] = deque()
-        self.arrivals: deque[float] = deque()
+        self.arrival_times: deque[float] = deque()
         self.buffered_bytes = 0
         self.ended = False
         self.on_end: Callable[[], None] | None = None
-        self._arrived = anyio.Event()
-        self._taken = anyio.Event()
+        self._data_available = anyio.Event()
+        self._data_consumed = anyio.Event()
 
     async def run(self) -> None:
         """Read until the stream ends."""
@@ -40,17 +40,17 @@
             while True:
                 data = await self.stream.receive(CHUNK_BYTES)
                 self.chunks.append(data)
-                self.arrivals.append(self.arrival_time())
+                self.arrival_times.append(self.arrival_time())
                 self.buffered_bytes += len(data)
-                self._arrived.set()
+                self._data_available.set()
                 while self.buffered_bytes >= MAX_BUFFERED_BYTES:
-                    self._taken = anyio.Event()
-                    await self._taken.wait()
+                    self._data_consumed = anyio.Event()
+                    await self._data_consumed.wait()
         except STREAM_ERRORS:
             pass
         finally:
             self.ended = True
-            self._arrived.set()
+            self._data_available.set()
             if self.on_end is not None:
                 self.on_end()
 
@@ -59,10 +59,10 @@
         while not self.chunks:
             if self.ended:
                 return b""
-            self._arrived = anyio.Event()
-            await self._arrived.wait()
+            self._data_available = anyio.Event()
+            await self._data_available.wait()
         data = self.chunks.popleft()
-        self.received_at = self.arrivals.popleft()
+        self.received_at = self.arrival_times.popleft()
         self.buffered_bytes -= len(data)
-        self._taken.set()
+        self._data_consumed.set()
         return data
--- a/gullmount/proxy/request_exchange.py
+++ b/gullmount/proxy/request_exchange.py
@@ -14,7 +14,9 @@
 from gullmount.proxy.messages import RequestHead, Response
 from gullmount.proxy.outcomes import AttemptEnd
 
-MAX_RELAYED_CHUNKS = 4  # of a response that wait for the client before the server's connection fills up
+MAX_QUEUED_RESPONSE_CHUNKS = (
+    4  # of a response that wait for the client before the server's connection fills up
+)
 
 
 class OpenAttempt(Protocol):
@@ -78,11 +80,11 @@
 
     def begin_attempt(self, server_id: str) -> int:
         """Count a new attempt and return its number."""
-        number = self.attempt_count
+        attempt_number = self.attempt_count
         self.attempt_count += 1
         self.attempts_in_flight += 1
         self.attempt_records.append(AttemptRecord(server_id))
-        return number
+        return attempt_number
 
     def settle(self, response: Response) -> None:
         """Give the final response; a later one changes nothing."""
@@ -97,14 +99,14 @@
             if self.on_settled is not None:
                 self.on_settled()
 
-    def begin_response(self, response: Response, number: int) -> MemoryObjectSendStream[bytes]:
+    def begin_response(self, response: Response, attempt_number: int) -> MemoryObjectSendStream[bytes]:
         """Settle with a response that attempt `number` has begun; return the stream that takes its body."""
-        send, self.response_body = anyio.create_memory_object_stream[bytes](MAX_RELAYED_CHUNKS)
-        self.open_attempts[number].deadline = inf
+        send_stream, self.response_body = anyio.create_memory_object_stream[bytes](MAX_QUEUED_RESPONSE_CHUNKS)
+        self.open_attempts[attempt_number].deadline = inf
         self.settle(response)
         if self.request is not None:
-            self.request.response_started(number)
-        return send
+            self.request.response_started(attempt_number)
+        return send_stream
 
     def client_disconnected(self) -> None:
         """The client left: its attempts are cancelled and no response is owed."""
--- a/gullmount/proxy/streaming_downstream.py
+++ b/gullmount/proxy/streaming_downstream.py
@@ -40,7 +40,7 @@
 UNSUPPORTED_METHODS = ("CONNECT", "TRACE")
 
 
-class ClientGoneError(GullmountError):
+class ClientDisconnectedError(GullmountError):
     """The client closed its connection, or fell silent, outside of an accepted request."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
         self.idle = True
         self.idle_since = runtime.now()
         self.requests_accepted = 0
-        self.scope = anyio.CancelScope()
+        self.connection_scope = anyio.CancelScope()
         self.request_complete = True
 
     def arrival_time(self) -> float:
@@ -85,17 +85,17 @@
 
     def close(self) -> None:
         """End the connection, which must be idle."""
-        self.scope.cancel()
+        self.connection_scope.cancel()
 
     async def run(self) -> None:
         """Serve the connection until it ends."""
         try:
             async with anyio.create_task_group() as tasks:
-                self.scope = tasks.cancel_scope
+                self.connection_scope = tasks.cancel_scope
                 tasks.start_soon(self.incoming.run)
                 try:
                     await self.serve_requests()
-                except (ClientGoneError, *STREAM_ERRORS):
+                except (ClientDisconnectedError, *STREAM_ERRORS):
                     pass
                 tasks.cancel_scope.cancel()
         finally:
@@ -154,13 +154,13 @@
                     await self.write(CONTINUE_RESPONSE)
                 data = await self.incoming.receive()
                 if not data or parser.finished:
-                    raise ClientGoneError
+                    raise ClientDisconnectedError
                 self.idle = False
                 parser.feed(data)
                 if parser.parts:
                     return parser.parts.popleft()
         if self.idle:
-            raise ClientGoneError
+            raise ClientDisconnectedError
         raise ProtocolError(REQUEST_TIMEOUT, "too slow")
 
     async def read_head(self) -> RequestHead:
@@ -171,7 +171,7 @@
         head = await self.next_part(timeout)
         self.idle = self.request_complete = False
         if not isinstance(head, RequestHead):
-            raise ClientGoneError
+            raise ClientDisconnectedError
         if head.method in UNSUPPORTED_METHODS:
             raise ProtocolError(NOT_IMPLEMENTED, "method is not passed on")
         length = head.get("content-length")
@@ -198,7 +198,7 @@
         if self.runtime.stalls.recent:
             await self.runtime.stalls.wait_until_resumed()
             if self.incoming.ended or stream_peer_has_ended(self.stream):
-                raise ClientGoneError  # it left while this process did not run
+                raise ClientDisconnectedError  # it left while this process did not run
         exchange = self.runtime.new_exchange(head, body, arrived_at, metadata)
         if not self.request_complete:
             exchange.remaining_body = self.remaining_body
@@ -227,7 +227,7 @@
         while True:
             try:
                 part = await self.next_part(self.limits.read_timeout)
-            except (ProtocolError, ClientGoneError):
+            except (ProtocolError, ClientDisconnectedError):
                 part = None
             if isinstance(part, EndOfMessage):
                 self.request_complete = True
@@ -280,7 +280,7 @@
             async for data in exchange.response_body:
                 await self.write(encode_chunk(data) if chunked else data)
         if exchange.response_truncated:
-            raise ClientGoneError
+            raise ClientDisconnectedError
         if chunked:
             await self.write(LAST_CHUNK)
 
