--- a/gullmount/decisions/affinity.py
+++ b/gullmount/decisions/affinity.py
@@ -49,7 +49,7 @@
         in_flight = self._in_flight_builds(request.hash_position)
         return self.last_build(request) <= build <= min(in_flight, default=build)
 
-    def has_attempt_before(self, request: Request, build: int) -> bool:
+    def has_attempt_at_older_build(self, request: Request, build: int) -> bool:
         """Whether an attempt of the key is in flight at an older build."""
         return any(other < build for other in self._in_flight_builds(request.hash_position))
 
--- a/gullmount/decisions/endpoint_freshness.py
+++ b/gullmount/decisions/endpoint_freshness.py
@@ -80,13 +80,13 @@
 class PlannedCall:
     """The next call of discovery."""
 
-    at: float
+    not_before: float
     """Not before this moment."""
     wait: float
     """Seconds that discovery is asked to wait for a change."""
     silence_timeout: float
     """Seconds without a byte after which the call is given up."""
-    continues: bool
+    continues_watch: bool
     """Whether it continues a watch that was just answered."""
 
 
@@ -105,7 +105,7 @@
         """Calls in a row that were refused, broke off or found nobody."""
         self.suspect = True
         """Whether the last call failed, or none was answered yet."""
-        self.plan = self._first_call(now + self._spread(START_SPREAD_SECONDS))
+        self.next_call = self._first_call(now + self._spread(START_SPREAD_SECONDS))
 
     def is_stale(self, now: float) -> bool:
         """Whether nothing may be routed by the list."""
@@ -117,7 +117,7 @@
             return EndpointListState.STALE
         return EndpointListState.SUSPECT if self.suspect else EndpointListState.FRESH
 
-    def call_answered(self, began_at: float, now: float, answered_at: float | None = None) -> None:
+    def call_succeeded(self, began_at: float, now: float, answered_at: float | None = None) -> None:
         """Take note that the planned call, made at `began_at`, brought a usable answer.
 
         `answered_at` is the earliest time at which discovery can have begun to write it, where that is not
@@ -128,8 +128,8 @@
         self.consecutive_failures = 0
         self.suspect = False
         wait = self.random.uniform(*WATCH_WAIT_SECONDS)
-        at = max(now, began_at + MIN_CALL_INTERVAL_SECONDS)
-        self.plan = PlannedCall(at, wait, wait + SILENCE_SLACK_SECONDS, continues=True)
+        not_before = max(now, began_at + MIN_CALL_INTERVAL_SECONDS)
+        self.next_call = PlannedCall(not_before, wait, wait + SILENCE_SLACK_SECONDS, continues_watch=True)
 
     def call_failed(self, failure: CallFailure, began_at: float, now: float) -> None:
         """Take note that the planned call, made at `began_at`, brought nothing."""
@@ -142,27 +142,27 @@
             self.stale_at = min(self.stale_at, now)  # the list in hand may be of any age
         if failure is CallFailure.REFUSED:
             self._plan_after_failure(now, self._refused_pause(), LONGEST_PAUSE_SECONDS)
-        elif self.plan.continues:
-            self.plan = self._first_call(now + self._spread(RESTART_SPREAD_SECONDS))
+        elif self.next_call.continues_watch:
+            self.next_call = self._first_call(now + self._spread(RESTART_SPREAD_SECONDS))
         else:
             self._plan_after_failure(now, BROKEN_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS)
 
-    def discovery_moved(self, now: float) -> None:
+    def discovery_address_changed(self, now: float) -> None:
         """Take note that discovery is at another address from now on."""
         self.stale_at = min(self.stale_at, now + NOTIFIED_AFTER_MOVE_SECONDS)
         self.consecutive_failures = 0
         self.suspect = True
-        self.plan = self._first_call(now + self._spread(MOVE_SPREAD_SECONDS))
+        self.next_call = self._first_call(now + self._spread(MOVE_SPREAD_SECONDS))
 
-    def _first_call(self, at: float) -> PlannedCall:
+    def _first_call(self, not_before: float) -> PlannedCall:
         timeout = FIRST_WAIT_SECONDS + FIRST_SILENCE_SLACK_SECONDS
-        return PlannedCall(at, FIRST_WAIT_SECONDS, timeout, continues=False)
+        return PlannedCall(not_before, FIRST_WAIT_SECONDS, timeout, continues_watch=False)
 
     def _plan_after_failure(self, now: float, first_pause: float, longest_pause: float) -> None:
         self.consecutive_failures += 1
         doublings = min(self.consecutive_failures - 1, MAX_DOUBLINGS)
         pause = min(longest_pause, first_pause * 2.0**doublings) * self.random.uniform(*PAUSE_JITTER)
-        self.plan = self._first_call(now + pause)
+        self.next_call = self._first_call(now + pause)
 
     def _refused_pause(self) -> float:
         others = REFUSED_PAUSE_SECONDS - REFUSED_PAUSE_ALONE_SECONDS
@@ -172,7 +172,9 @@
         return longest * self.spread_factor * self.random.random()
 
 
-def answer_due(planned: PlannedCall, began_at: float, last_byte_at: float, first_byte_at: float) -> float:
+def response_deadline(
+    planned: PlannedCall, began_at: float, last_byte_at: float, first_byte_at: float
+) -> float:
     """Return until when the rest of an answer is waited for; one that flows is not given up.
 
     `last_byte_at` is -inf as long as none came.
--- a/gullmount/decisions/endpoints.py
+++ b/gullmount/decisions/endpoints.py
@@ -71,7 +71,7 @@
             self._apply(endpoint, now)
         self._index(now)
 
-    def drop_warm(self, now: float) -> None:
+    def prune_warming(self, now: float) -> None:
         """Forget as warming the servers that have all of their capacity by now, or are not ready any more."""
         self.warming = [
             server
--- a/gullmount/decisions/traffic_split.py
+++ b/gullmount/decisions/traffic_split.py
@@ -47,7 +47,7 @@
             return None
         if request.attempts and self.releases.unfinished_release(request.attempts[-1].build):
             return None
-        return None if self.affinity.has_attempt_before(request, candidate.build) else candidate
+        return None if self.affinity.has_attempt_at_older_build(request, candidate.build) else candidate
 
     def update(self, now: float) -> None:
         """Move each candidate's share toward what it may be; called at every evaluation."""
@@ -86,7 +86,7 @@
 
     def _missing_capacity(self, now: float) -> list[float]:
         """Return how many servers' capacity is missing to slow start, by candidate."""
-        self.endpoints.drop_warm(now)
+        self.endpoints.prune_warming(now)
         weight = self.endpoints.slow_start.weight
         missing: list[float] = [
             sum(
--- a/gullmount/platform/discovery_client.py
+++ b/gullmount/platform/discovery_client.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from gullmount.decisions.endpoint_freshness import CallFailure, PlannedCall, answer_due
+from gullmount.decisions.endpoint_freshness import CallFailure, PlannedCall, response_deadline
 from gullmount.errors import GullmountError
 from gullmount.net import STREAM_ERRORS, Net, Stream
 from gullmount.platform.endpoint_codec import EndpointPage, decode_page
@@ -60,7 +60,7 @@
 
     def deadline(self) -> float:
         """Return until when the next bytes are waited for."""
-        return answer_due(self.planned, self.began_at, self.last_byte_at, self.first_byte_at)
+        return response_deadline(self.planned, self.began_at, self.last_byte_at, self.first_byte_at)
 
     def note_bytes(self, now: float, arrived_at: float) -> None:
         """Note that something was read, and the earliest time at which it can have arrived."""
--- a/gullmount/platform/discovery_watch.py
+++ b/gullmount/platform/discovery_watch.py
@@ -71,7 +71,7 @@
         """Ask another service for the complete list at once: it may count its revisions in its own way."""
         if address != self.address:
             self.endpoints.forget_revision()
-            self.freshness.discovery_moved(self.runtime.now())
+            self.freshness.discovery_address_changed(self.runtime.now())
         super().change_address(address)
 
     async def run(self) -> None:
@@ -87,8 +87,8 @@
 
     async def call_when_due(self) -> None:
         """Wait for the planned call and make it."""
-        planned = self.freshness.plan
-        pause = planned.at - self.runtime.now()
+        planned = self.freshness.next_call
+        pause = planned.not_before - self.runtime.now()
         if pause > 0:
             await anyio.sleep(pause)
         self.call_count += 1
@@ -119,7 +119,7 @@
     def note_success(self, call: DiscoveryCall, page: EndpointPage) -> None:
         """Renew the list's freshness and log the call."""
         now = self.runtime.now()
-        self.freshness.call_answered(call.began_at, now, call.answered_at)
+        self.freshness.call_succeeded(call.began_at, now, call.answered_at)
         self.first_call_ended.set()
         self.runtime.log_event(
             LogEvent.DISCOVERY_CALL_SUCCEEDED,
@@ -147,7 +147,7 @@
             duration_seconds=round(now - call.began_at, 3),
             body_bytes=call.body_bytes,
             revision=self.endpoints.revision,
-            next_in_seconds=round(self.freshness.plan.at - now, 2),
+            next_in_seconds=round(self.freshness.next_call.not_before - now, 2),
             stale_in_seconds=round(self.freshness.stale_at - now, 2),
         )
 
--- a/tests/decisions/test_canary_analysis.py
+++ b/tests/decisions/test_canary_analysis.py
@@ -133,7 +133,7 @@
     def load(span: float, requests: int, latency: float) -> None:
         for _ in range(round(span / 0.1)):
             for number in range(requests):
-                request = harness.accept("look", f"k{harness.count}")
+                request = harness.accept("look", f"k{harness.request_count}")
                 lost = number < unserved and requests > 1
                 if lost:
                     request.client_left()
--- a/tests/decisions/test_endpoint_freshness.py
+++ b/tests/decisions/test_endpoint_freshness.py
@@ -18,7 +18,7 @@
     CallFailure,
     EndpointFreshness,
     EndpointListState,
-    answer_due,
+    response_deadline,
 )
 
 DUE = 6.0  # s, the users' figure
@@ -55,8 +55,8 @@
     now = 100.0
     fresh, model, wrong = EndpointFreshness(instances, Random(seed), now), Model(now), []
     for event in events:
-        planned = fresh.plan
-        began = max(now, planned.at)
+        planned = fresh.next_call
+        began = max(now, planned.not_before)
         took = {
             "news": 0.05, "nothing": planned.wait, "refused": 2.0, "refused at once": 0.0, "broken": 0.3,
             "silent": planned.silence_timeout, "unreachable": 0.8, "moved": min(0.5, planned.wait),
@@ -67,10 +67,10 @@
                 wrong.append(now)
             now = min(end, now + STEP)
         if event in ("news", "nothing"):
-            fresh.call_answered(began, now)
+            fresh.call_succeeded(began, now)
             model.answered(now)
         elif event == "moved":
-            fresh.discovery_moved(now)
+            fresh.discovery_address_changed(now)
             model.moved(now)
         elif event == "unreachable":
             fresh.call_failed(CallFailure.UNREACHABLE, began, now)
@@ -99,22 +99,22 @@
 
 def test_a_list_that_is_answered_for_stays_fresh() -> None:
     fresh = EndpointFreshness(210, Random(1), 0.0)
-    now = fresh.plan.at
+    now = fresh.next_call.not_before
     for _ in range(1000):
-        began = fresh.plan.at
-        now = began + fresh.plan.wait
+        began = fresh.next_call.not_before
+        now = began + fresh.next_call.wait
         assert not fresh.is_stale(now)
-        fresh.call_answered(began, now)
+        fresh.call_succeeded(began, now)
         assert fresh.state(now) is EndpointListState.FRESH
 
 
 def test_a_watch_is_continued_within_the_time_that_keeps_it_and_never_in_a_tight_loop() -> None:
     """The users' page: a watch goes on if its next call comes within 200 ms of the answer."""
     fresh = EndpointFreshness(1, Random(1), 0.0)
-    fresh.call_answered(0.0, 0.0)
-    assert 0.05 <= fresh.plan.at <= 0.15 and fresh.plan.continues
-    fresh.call_answered(1.0, 3.0)
-    assert fresh.plan.at == 3.0 and fresh.plan.continues
+    fresh.call_succeeded(0.0, 0.0)
+    assert 0.05 <= fresh.next_call.not_before <= 0.15 and fresh.next_call.continues_watch
+    fresh.call_succeeded(1.0, 3.0)
+    assert fresh.next_call.not_before == 3.0 and fresh.next_call.continues_watch
 
 
 def test_instances_refused_together_come_back_apart_and_ever_later() -> None:
@@ -124,8 +124,8 @@
     for _ in range(4):
         at = []
         for one in fleet:
-            one.call_failed(CallFailure.REFUSED, one.plan.at, 10.0)
-            at.append(one.plan.at - 10.0)
+            one.call_failed(CallFailure.REFUSED, one.next_call.not_before, 10.0)
+            at.append(one.next_call.not_before - 10.0)
         spreads.append((min(at), max(at)))
     assert [round(high / low) for low, high in spreads] == [3, 3, 3, 3]
     assert spreads[0][0] >= 2.9 and spreads[1][0] >= 5.9 and spreads[2][0] >= 11.8
@@ -133,10 +133,10 @@
 
 
 def test_an_answer_that_flows_is_waited_for_and_one_that_stalls_is_not() -> None:
-    planned = EndpointFreshness(1, Random(1), 0.0).plan
-    assert answer_due(planned, 10.0, -inf, inf) == 10.0 + planned.silence_timeout
-    assert answer_due(planned, 10.0, 14.4, 12.0) == 15.4
-    assert answer_due(planned, 10.0, 40.0, 12.0) == 27.0
+    planned = EndpointFreshness(1, Random(1), 0.0).next_call
+    assert response_deadline(planned, 10.0, -inf, inf) == 10.0 + planned.silence_timeout
+    assert response_deadline(planned, 10.0, 14.4, 12.0) == 15.4
+    assert response_deadline(planned, 10.0, 40.0, 12.0) == 27.0
 
 
 @pytest.mark.parametrize(
@@ -150,9 +150,9 @@
     back_after, waits = 30.0, []
     for seed in range(300):
         fresh, now = EndpointFreshness(instances, Random(seed), 0.0), 0.0
-        while fresh.plan.at < back_after:
-            began = fresh.plan.at
+        while fresh.next_call.not_before < back_after:
+            began = fresh.next_call.not_before
             now = began + took
             fresh.call_failed(failure, began, now)
-        waits.append(fresh.plan.at - back_after)
+        waits.append(fresh.next_call.not_before - back_after)
     assert max(waits) <= DUE and sum(waits) / len(waits) <= DUE / 3
--- a/tests/decisions/test_router_against_model.py
+++ b/tests/decisions/test_router_against_model.py
@@ -199,7 +199,7 @@
 
     def take(self, route: str, key: str | None) -> None:
         self.model.taken.append((self.harness.clock, route))
-        req_id = f"r{self.harness.count + 1}"
+        req_id = f"r{self.harness.request_count + 1}"
         self.model.tries[req_id] = []
         self.coming = Request(self.umpire, req_id, ROUTES[route], self.harness.clock + 6.0, key, 0.0)
         self.reqs.append(self.harness.accept(route, key, 6.0))
--- a/tests/support/decisions.py
+++ b/tests/support/decisions.py
@@ -73,7 +73,7 @@
         self.gossiped: list[tuple[int, int, int, Vote]] = []
         self.watches = 0
         self.timers: list[tuple[float, int, Callable[[], None]]] = []
-        self.count = 0
+        self.request_count = 0
         self.router = Router(
             self, InstanceSettings(routes=ROUTES, release=ReleaseSettings(**release), **instance)
         )
@@ -131,8 +131,8 @@
         self.router.update_release(build, stage, phase, cap)
 
     def accept(self, route: str = "look", key: str | None = None, patience: float = 3.0) -> Request:
-        self.count += 1
-        return self.router.accept(f"r{self.count}", route, self.clock + patience, key)
+        self.request_count += 1
+        return self.router.accept(f"r{self.request_count}", route, self.clock + patience, key)
 
     def end_attempt(
         self, request: Request, outcome: Outcome = Outcome.COMPLETED, latency: float = 0.1
