--- a/gullmount/decisions/connection_failures.py
+++ b/gullmount/decisions/connection_failures.py
@@ -15,19 +15,19 @@
     """The failing share of the recent connects, from 0 to 1."""
 
     def __init__(self) -> None:
-        self.share = 0.0
+        self.failure_share = 0.0
 
     @property
     def prefer_open_connections(self) -> bool:
         """Whether load balancing should keep to servers with an open connection."""
-        return self.share > PREFER_OPEN_SHARE
+        return self.failure_share > PREFER_OPEN_SHARE
 
     @property
     def suggest_network_fault(self) -> bool:
         """Whether slowness may come from lost servers or links."""
-        return self.share > NETWORK_FAULT_SHARE
+        return self.failure_share > NETWORK_FAULT_SHARE
 
     def record(self, attempt: Attempt, outcome: Outcome) -> None:
         """Take in how an attempt ended."""
         weight = WEIGHT * (REUSED_WEIGHT if attempt.reused_connection else 1.0)
-        self.share += weight * ((outcome is Outcome.CONNECT_FAILED) - self.share)
+        self.failure_share += weight * ((outcome is Outcome.CONNECT_FAILED) - self.failure_share)
--- a/gullmount/decisions/endpoint_freshness.py
+++ b/gullmount/decisions/endpoint_freshness.py
@@ -40,16 +40,16 @@
 RESTART_SPREAD_SECONDS = 0.8  # over which instances whose watches ended together spread their next calls
 MOVE_SPREAD_SECONDS = 1.5  # over which instances that moved together do: each asks for the complete list
 
-REFUSED_PAUSE_SECONDS = 6.0  # mean, before the call after a refused one; doubles with each that fails
-REFUSED_PAUSE_ALONE_SECONDS = 1.5  # of the only instance of a fleet
-BROKEN_PAUSE_SECONDS = (
+REFUSED_BACKOFF_SECONDS = 6.0  # mean, before the call after a refused one; doubles with each that fails
+SINGLE_INSTANCE_REFUSED_BACKOFF_SECONDS = 1.5  # of the only instance of a fleet
+BROKEN_BACKOFF_SECONDS = (
     0.5  # likewise after a call that broke off or fell silent: it took none of discovery's time
 )
-LONGEST_PAUSE_SECONDS = 24.0  # mean, after refused, broken and silent calls
+MAX_BACKOFF_SECONDS = 24.0  # mean, after refused, broken and silent calls
 UNREACHABLE_PAUSE_SECONDS = 0.5  # mean, after a call that found no connection; doubles too
 LONGEST_UNREACHABLE_PAUSE_SECONDS = 3.0  # each attempt proves anew that nothing can be notified
 MAX_DOUBLINGS = 10
-PAUSE_JITTER = (0.5, 1.5)  # factors
+BACKOFF_JITTER_FACTORS = (0.5, 1.5)  # factors
 
 
 class EndpointListState(Enum):
@@ -141,11 +141,11 @@
         if self.synced_at is None:
             self.stale_at = min(self.stale_at, now)  # the list in hand may be of any age
         if failure is CallFailure.REFUSED:
-            self._plan_after_failure(now, self._refused_pause(), LONGEST_PAUSE_SECONDS)
+            self._plan_after_failure(now, self._refused_pause(), MAX_BACKOFF_SECONDS)
         elif self.next_call.continues_watch:
             self.next_call = self._first_call(now + self._spread(RESTART_SPREAD_SECONDS))
         else:
-            self._plan_after_failure(now, BROKEN_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS)
+            self._plan_after_failure(now, BROKEN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
 
     def discovery_address_changed(self, now: float) -> None:
         """Take note that discovery is at another address from now on."""
@@ -161,12 +161,14 @@
     def _plan_after_failure(self, now: float, first_pause: float, longest_pause: float) -> None:
         self.consecutive_failures += 1
         doublings = min(self.consecutive_failures - 1, MAX_DOUBLINGS)
-        pause = min(longest_pause, first_pause * 2.0**doublings) * self.random.uniform(*PAUSE_JITTER)
+        pause = min(longest_pause, first_pause * 2.0**doublings) * self.random.uniform(
+            *BACKOFF_JITTER_FACTORS
+        )
         self.next_call = self._first_call(now + pause)
 
     def _refused_pause(self) -> float:
-        others = REFUSED_PAUSE_SECONDS - REFUSED_PAUSE_ALONE_SECONDS
-        return REFUSED_PAUSE_ALONE_SECONDS + others * self.spread_factor
+        others = REFUSED_BACKOFF_SECONDS - SINGLE_INSTANCE_REFUSED_BACKOFF_SECONDS
+        return SINGLE_INSTANCE_REFUSED_BACKOFF_SECONDS + others * self.spread_factor
 
     def _spread(self, longest: float) -> float:
         return longest * self.spread_factor * self.random.random()
--- a/tests/decisions/test_canary_analysis.py
+++ b/tests/decisions/test_canary_analysis.py
@@ -117,7 +117,7 @@
         harness.advance_clock(8.0)
         harness.set_release(stage=1, cap=0.5)
         harness.advance_clock(4.0)
-        harness.router.connections.share = link_fails
+        harness.router.connections.failure_share = link_fails
         add_samples(harness, 1, 3.0, 100)
         add_samples(harness, 2, 3.0, 20)
         harness.advance_clock(8.5)
--- a/tests/decisions/test_load_balancing.py
+++ b/tests/decisions/test_load_balancing.py
@@ -30,7 +30,7 @@
     harness = released_harness({f"a{n}": 1 for n in range(40)}, instance_count=400)
     send_requests(harness, 20)
     linked = {server for _, server, _ in harness.forwarded}
-    harness.router.connections.share = 0.5
+    harness.router.connections.failure_share = 0.5
     harness.forwarded.clear()
     send_requests(harness, 10)
     assert {server for _, server, _ in harness.forwarded} <= linked
--- a/tests/platform/test_discovery_watch.py
+++ b/tests/platform/test_discovery_watch.py
@@ -14,12 +14,12 @@
 import pytest
 
 from gullmount.decisions.endpoint_freshness import (
-    BROKEN_PAUSE_SECONDS,
-    LONGEST_PAUSE_SECONDS,
+    BACKOFF_JITTER_FACTORS,
+    BROKEN_BACKOFF_SECONDS,
+    MAX_BACKOFF_SECONDS,
     NOTIFIED_AFTER_SECONDS,
-    PAUSE_JITTER,
-    REFUSED_PAUSE_ALONE_SECONDS,
-    REFUSED_PAUSE_SECONDS,
+    REFUSED_BACKOFF_SECONDS,
+    SINGLE_INSTANCE_REFUSED_BACKOFF_SECONDS,
 )
 from gullmount.net import STREAM_ERRORS, Stream
 from tests.support.platform_scene import Scene, answer_ok, never_answer
@@ -148,7 +148,10 @@
                 again.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
                 refused = anyio.current_time()
                 await accept(discovery)
-                assert anyio.current_time() >= refused + REFUSED_PAUSE_ALONE_SECONDS * PAUSE_JITTER[0]
+                assert (
+                    anyio.current_time()
+                    >= refused + SINGLE_INSTANCE_REFUSED_BACKOFF_SECONDS * BACKOFF_JITTER_FACTORS[0]
+                )
 
     play(scene)
 
@@ -320,7 +323,7 @@
             calls
         )
         assert not answer.endswith(b"\r\n\r\nok") and scene.connections == 0  # no server is left, or told off
-        with anyio.fail_after(3 * PAUSE_JITTER[1] * REFUSED_PAUSE_SECONDS):
+        with anyio.fail_after(3 * BACKOFF_JITTER_FACTORS[1] * REFUSED_BACKOFF_SECONDS):
             while discovery.endpoints.revision != 9:
                 await anyio.sleep(0.01)
         assert not discovery.freshness.is_stale(scene.instance.clock())
@@ -347,12 +350,12 @@
         await anyio.sleep(600)
         pauses = [later - call for call, later in pairwise(calls)]
         assert (
-            PAUSE_JITTER[0] * BROKEN_PAUSE_SECONDS
+            BACKOFF_JITTER_FACTORS[0] * BROKEN_BACKOFF_SECONDS
             <= pauses[0]
-            <= PAUSE_JITTER[1] * REFUSED_PAUSE_ALONE_SECONDS
+            <= BACKOFF_JITTER_FACTORS[1] * SINGLE_INSTANCE_REFUSED_BACKOFF_SECONDS
         )
-        assert min(pauses[8:]) >= PAUSE_JITTER[0] * LONGEST_PAUSE_SECONDS
-        assert max(pauses) <= PAUSE_JITTER[1] * LONGEST_PAUSE_SECONDS + 0.1
+        assert min(pauses[8:]) >= BACKOFF_JITTER_FACTORS[0] * MAX_BACKOFF_SECONDS
+        assert max(pauses) <= BACKOFF_JITTER_FACTORS[1] * MAX_BACKOFF_SECONDS + 0.1
 
     play_virtual(tmp_path, never_answer, act, {DISCOVERY: discovery})
 
