--- a/gullmount/decisions/traffic_split.py
+++ b/gullmount/decisions/traffic_split.py
@@ -62,7 +62,7 @@
             return None
         if request.attempts and self.releases.unfinished_release(request.attempts[-1].build):
             return None
-        return None if self.affinity.has_attempt_before(request, candidate.build) else candidate
+        return None if self.affinity.has_attempt_at_older_build(request, candidate.build) else candidate
 
     def update(self, now: float) -> None:
         """Raise each candidate's traffic share toward its target, and cut it to its limit.
@@ -111,7 +111,7 @@
 
         Updates `warm_capacity`.
         """
-        self.endpoints.drop_warm(now)
+        self.endpoints.prune_warming(now)
         weight = self.endpoints.slow_start.weight
         missing: list[float] = [
             sum(
