--- a/gullmount/decisions/attribution/attribution.py
+++ b/gullmount/decisions/attribution/attribution.py
@@ -88,7 +88,7 @@
         if is_new and leader == self.instance_number and reduced_build:
             self.begin_traffic_reduction(now, reduced_build)
 
-    def on_reduction_request(self, request: RequestReduction) -> None:
+    def set_reduction_request_callback(self, request: RequestReduction) -> None:
         """Set what the leader calls before it reduces a build's traffic, and with 0 after it."""
         self.traffic_reduction.request = request
 
--- a/gullmount/proxy/instance.py
+++ b/gullmount/proxy/instance.py
@@ -142,7 +142,7 @@
         `allow_traffic_reduction` answers it.
         """
         if self.runtime.router.attribution is not None:
-            self.runtime.router.attribution.on_reduction_request(ask)
+            self.runtime.router.attribution.set_reduction_request_callback(ask)
 
     def allow_traffic_reduction(self, build: int) -> None:
         """Begin to reduce the build's traffic."""
--- a/tests/decisions/attribution/test_traffic_reduction.py
+++ b/tests/decisions/attribution/test_traffic_reduction.py
@@ -40,8 +40,8 @@
     scene = scene_with_leader(leader=1)
     requests: list[int] = []
     first, second = scene.attributions[1:3]
-    first.on_reduction_request(requests.append)
-    second.on_reduction_request(requests.append)
+    first.set_reduction_request_callback(requests.append)
+    second.set_reduction_request_callback(requests.append)
     assert build_to_reduce(first, scene.now) == 0
     scene.now += 3.0
     assert build_to_reduce(first, scene.now) == 0 and requests == [3]  # not before it is stored
