--- a/gullmount/proxy/instance.py
+++ b/gullmount/proxy/instance.py
@@ -152,7 +152,7 @@
         `allow_traffic_reduction` is called.
         """
         if self.runtime.router.attribution is not None:
-            self.runtime.router.attribution.on_reduction_request(callback)
+            self.runtime.router.attribution.set_reduction_request_callback(callback)
 
     def allow_traffic_reduction(self, build: int) -> None:
         """Start the traffic reduction that was requested for the build."""
