--- a/gullmount/proxy/downstream.py
+++ b/gullmount/proxy/downstream.py
@@ -1,4 +1,7 @@
-"""What both kinds of client connection share: the form of complete responses and of errors. No I/O."""
+"""Defines the interface of client connections and encodes complete responses and errors.
+
+Buffered and streaming client connections share this module, which does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,13 @@
 
 
 class DownstreamConnection(Protocol):
-    """A client connection as the listener sees it; `idle_since` in seconds of the runtime's clock."""
+    """A client connection as the listener uses it.
+
+    Attributes:
+        idle: whether no request has begun to arrive since the last one.
+        idle_since: when the connection last became idle, in seconds of the runtime's clock.
+        requests_accepted: number of requests accepted on this connection.
+    """
 
     idle: bool
     idle_since: float
@@ -31,24 +40,24 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a request is accepted whose response has not left."""
+        """Whether an accepted request still awaits its response or the response is still being sent."""
 
     def close(self) -> None:
-        """End the connection, on which nothing may be in flight."""
+        """Close the connection; no request may be in flight."""
 
     def reject_unread_request(self) -> None:
-        """End a connection whose request has not been read to its end, at the end of a shutdown."""
+        """Reject a request that has not been read completely; called at the end of a graceful shutdown."""
 
 
 def encode_response(response: Response, headers: Headers) -> bytes:
-    """Encode a response whose body is complete."""
+    """Encode a response with a complete body, adding its Content-Length."""
     framed_headers = [pair for pair in headers if pair[0] != b"content-length"]
     framed_headers.append((b"content-length", b"%d" % len(response.body)))
     return encode_response_head(response.status, response.reason, framed_headers) + response.body
 
 
 def encode_error(error: ProtocolError, headers: Headers) -> bytes:
-    """Encode the response to a request that is not accepted; the connection ends with it."""
+    """Encode the response to a request that is not accepted; the connection closes after it."""
     body = error.reason.encode() + b"\n"
     headers = [*headers, CLOSE_HEADER, (b"content-length", b"%d" % len(body))]
     return encode_response_head(error.status, REASON_PHRASES.get(error.status, b""), headers) + body
--- a/gullmount/proxy/generic_adapter.py
+++ b/gullmount/proxy/generic_adapter.py
@@ -1,4 +1,7 @@
-"""The protocol adapter of `gullmount proxy`: routes by method, path and headers, as in its YAML file."""
+"""Implements the protocol adapter of `gullmount proxy`.
+
+It selects routes by method, path and headers, as its YAML file configures them.
+"""
 
 from __future__ import annotations
 
@@ -23,12 +26,13 @@
 from gullmount.proxy.request_exchange import RequestExchange
 
 LINGER_TIMEOUT_SECONDS = 1.0
-UNLIMITED_CONNECTIONS = 1 << 30  # to all servers: the limit is per server here
+# No limit on connections to all servers together: this adapter limits them per server.
+UNLIMITED_CONNECTIONS = 1 << 30
 NOT_FOUND = 404
 
 
 class GenericAdapter:
-    """Serves plain HTTP by the routes of one configuration."""
+    """Serves plain HTTP according to the routes of one configuration."""
 
     def __init__(self, config: ProxyConfig) -> None:
         self.config = config
@@ -48,7 +52,8 @@
         self.upstream_limits = UpstreamLimits(
             connect_timeout=servers.connect_within,
             idle_timeout=servers.link_idle,
-            reuse_delay=0.0,  # not supported by the streaming upstream: see ROADMAP
+            # The streaming upstream does not support a reuse delay: see ROADMAP.
+            reuse_delay=0.0,
             max_connections_per_server=servers.links,
             max_connections=UNLIMITED_CONNECTIONS,
             max_buffered_response_bytes=servers.answer_kept,
@@ -58,7 +63,7 @@
         self.not_begun_header = servers.not_begun_header.encode()
 
     def find_route(self, head: RequestHead) -> RouteConfig | None:
-        """Return the first route whose method, path and headers the request matches."""
+        """Return the first route whose method, path and headers match the request, or None."""
         for route, pattern in self.routes:
             match = route.match
             if match.method and head.method not in match.method:
@@ -70,13 +75,13 @@
         return None
 
     def local_response(self, _head: RequestHead) -> Response | None:
-        """Return nothing: no request is for the proxy itself."""
+        """Return None: no request is for the proxy itself."""
         return None
 
     def request_metadata(self, head: RequestHead) -> RequestMetadata:
-        """Return what the head says. Raises ProtocolError where no route matches.
+        """Return the request's metadata. Raises ProtocolError if no route matches.
 
-        A request of a deduplicated route that does not name itself goes out once only.
+        A request on a deduplicated route that lacks its deduplication header is sent at most once.
         """
         route = self.find_route(head)
         if route is None:
@@ -93,39 +98,39 @@
         )
 
     def claim_request_id(self, metadata: RequestMetadata) -> None:
-        """Do nothing: each request counts as a new one."""
+        """Do nothing: every request counts as a new one."""
 
     def request_ended(self, exchange: RequestExchange) -> None:
-        """Do nothing: nothing is kept of a request."""
+        """Do nothing: this adapter keeps no state per request."""
 
     def server_address(self, server_id: str) -> str:
-        """Return the server's id, which is its address here."""
+        """Return the server's id, which is also its address."""
         return server_id
 
     def upstream_headers(self, exchange: RequestExchange, _timeout: float) -> Headers:
-        """Return the headers that go to a server, without those that frame the body."""
+        """Return the request headers to send to a server, without those that frame the body."""
         return end_to_end_headers(exchange.head.headers) + self.instance_headers
 
     def outcome(self, end: AttemptEnd, response: Response | None) -> Outcome:
-        """Return the outcome of an attempt for the router."""
+        """Return the outcome of an attempt to report to the router."""
         if response is None:
             return attempt_outcome(end)
         not_begun = any(name == self.not_begun_header for name, _ in response.headers)
         return attempt_outcome(end, response.status, not_begun)
 
     def downstream_headers(self, response: Response) -> Headers:
-        """Return the headers that go to the client, without those that frame the body."""
+        """Return the response headers to send to the client, without those that frame the body."""
         return [*end_to_end_headers(response.headers), (DISPOSITION_HEADER, response.disposition)]
 
     def rejection_response(self, retry_after: float) -> Response:
-        """Return the response to a rejected request; `retry_after` in seconds, 0 for none."""
+        """Return the response to a rejected request; `retry_after` is in seconds, 0 for none."""
         return rejection_response(retry_after)
 
     def failure_response(self, status: int) -> Response:
-        """Return the response to a failed request, status 502 or 504."""
+        """Return the response to a failed request; `status` is 502 or 504."""
         return failure_response(status)
 
     def server_error_response(self, response: Response) -> Response:
-        """Return the server's own error."""
+        """Return the server's own error response, marked as errored."""
         response.disposition = b"errored"
         return response
--- a/gullmount/proxy/messages.py
+++ b/gullmount/proxy/messages.py
@@ -1,4 +1,7 @@
-"""HTTP messages as values, and which headers may pass from one side to the other. No I/O."""
+"""Defines HTTP message values and the headers that the proxy forwards.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +14,8 @@
 
 Headers = list[tuple[bytes, bytes]]
 
+# Headers that are not forwarded: the hop-by-hop headers of RFC 9110, section 7.6.1, and headers that concern
+# only the connection between this proxy and its client.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
@@ -24,17 +29,21 @@
         b"proxy-authorization",
         b"expect",
     }
-)  # RFC 9110, 7.6.1, and what is between this hop and its client only
-DISPOSITION_HEADER = b"gullmount-answer"  # completed, shed or errored; a server's own is removed
-MAX_AFFINITY_KEY_CHARACTERS = 256  # a longer key is cut: a hostile one must not fill the memory
+)
+# Tells the client whether its request was completed, shed or errored. A server's own header of this name is
+# removed.
+DISPOSITION_HEADER = b"gullmount-answer"
+# Longer affinity keys are truncated, so that a hostile client cannot exhaust the memory.
+MAX_AFFINITY_KEY_CHARACTERS = 256
 SERVICE_UNAVAILABLE = 503
 ERROR_BODIES = {503: b"shed, try again later\n", 502: b"errored\n", 504: b"errored, in time for the client\n"}
 REASON_PHRASES = {502: b"Bad Gateway", 503: b"Service Unavailable", 504: b"Gateway Timeout"}
-MAX_TIMEOUT_DIGITS = 9  # of milliseconds: over 11 days
+# Nine digits of milliseconds allow timeouts of more than 11 days.
+MAX_TIMEOUT_DIGITS = 9
 
 
 class RequestHead:
-    """The head of a request as its client sent it."""
+    """The request line and headers as the client sent them."""
 
     __slots__ = ("headers", "method", "target")
 
@@ -44,21 +53,22 @@
         self.headers: Headers = list(headers)
 
     def get(self, name: str) -> str | None:
-        """Return the value of the first header of this lower-case name, if any."""
+        """Return the value of the first header with this lowercase name, or None."""
         encoded_name = name.encode()
         return next((value.decode("latin-1") for field, value in self.headers if field == encoded_name), None)
 
     def get_single(self, name: str) -> str | None:
-        """Return the header's value if the header occurs exactly once."""
+        """Return the value of the header with this lowercase name if it occurs exactly once, else None."""
         encoded_name = name.encode()
         values = [value for field, value in self.headers if field == encoded_name]
         return values[0].decode("latin-1") if len(values) == 1 else None
 
 
 class Response:
-    """A response of a server or of the proxy itself.
+    """A response from a server or from the proxy itself.
 
-    `disposition` tells the client what became of its request: completed, shed or errored, as on the wire.
+    Attributes:
+        disposition: value of `DISPOSITION_HEADER` for this response: completed, shed or errored.
     """
 
     __slots__ = ("body", "disposition", "headers", "reason", "status")
@@ -79,13 +89,13 @@
 
 
 def connection_options(headers: Sequence[tuple[bytes, bytes]]) -> set[bytes]:
-    """Return the headers that Connection names, which are for one hop only."""
+    """Return the lowercase header names listed in Connection, which apply to one hop only."""
     connection_values = b",".join(value for name, value in headers if name == b"connection")
     return {part.strip().lower() for part in connection_values.split(b",")}
 
 
 def end_to_end_headers(headers: Sequence[tuple[bytes, bytes]]) -> Headers:
-    """Return the headers without those of one hop."""
+    """Return the headers to forward: all but the hop-by-hop headers and the disposition header."""
     excluded_names = HOP_BY_HOP_HEADERS | connection_options(headers)
     return [
         (name, value) for name, value in headers if name not in excluded_names and name != DISPOSITION_HEADER
@@ -93,7 +103,7 @@
 
 
 def framing_problem(headers: Sequence[tuple[bytes, bytes]]) -> str | None:
-    """Return what makes the length of a message ambiguous, if anything."""
+    """Return why the message's framing or host is ambiguous, or None if it is not."""
     lengths = [value for name, value in headers if name == b"content-length"]
     codings = [value for name, value in headers if name == b"transfer-encoding"]
     if lengths and codings:
@@ -108,7 +118,7 @@
 
 
 def cookie_value(head: RequestHead, name: str) -> str | None:
-    """Return the value of the first cookie of this name, if any."""
+    """Return the value of the first cookie with this name, or None."""
     for field, value in head.headers:
         if field == b"cookie":
             for part in value.decode("latin-1").split(";"):
@@ -119,7 +129,7 @@
 
 
 def affinity_key(head: RequestHead, sources: Sequence[AffinityKeyConfig]) -> str | None:
-    """Return the request's affinity key from the first place that holds one."""
+    """Return the affinity key from the first source that yields one, or None."""
     for source in sources:
         key = None
         if source.header is not None:
@@ -135,9 +145,10 @@
 
 
 def request_timeout(head: RequestHead, header: str, route_timeout: float) -> float:
-    """Return for how many seconds the client waits, at most the route's timeout.
+    """Return the request's timeout in seconds, at most `route_timeout`.
 
-    The client says it in milliseconds in `header`; an unusable value counts as none.
+    The client sends its timeout in milliseconds in `header`. A missing or invalid value selects
+    `route_timeout`.
     """
     milliseconds = head.get(header)
     if milliseconds is None or not milliseconds.isdecimal() or len(milliseconds) > MAX_TIMEOUT_DIGITS:
@@ -146,7 +157,10 @@
 
 
 def rejection_response(retry_after: float) -> Response:
-    """Return the response to a rejected request; `retry_after` in seconds, 0 for none."""
+    """Return the 503 response to a rejected request.
+
+    `retry_after` is in seconds; 0 omits the retry headers.
+    """
     headers = [(b"content-type", b"text/plain")]
     if retry_after > 0:
         headers.append((b"retry-after", b"%d" % max(1, round(retry_after))))
@@ -161,7 +175,7 @@
 
 
 def failure_response(status: int) -> Response:
-    """Return the proxy's own response to a failed request, 502 or 504."""
+    """Return the proxy's own response to a failed request; `status` is 502 or 504."""
     return Response(
         status, [(b"content-type", b"text/plain")], ERROR_BODIES[status], REASON_PHRASES[status], b"errored"
     )
--- a/gullmount/proxy/protocol_adapter.py
+++ b/gullmount/proxy/protocol_adapter.py
@@ -1,6 +1,6 @@
-"""What differs between the protocols that a proxy instance serves, behind one interface. No I/O.
+"""Defines the interface that separates the proxy from the protocol that it serves.
 
-`generic_adapter.py` and `gullmount.platform` each implement it.
+`generic_adapter.py` and `gullmount.platform` each implement `ProtocolAdapter`. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -13,24 +13,28 @@
 from gullmount.proxy.outcomes import AttemptEnd
 from gullmount.proxy.request_exchange import RequestExchange
 
-CONNECTION_REUSE_DELAY_SECONDS = 0.03  # bytes that follow a response late come within some milliseconds
+# Delay before a connection is reused. Stray bytes after a response arrive within some milliseconds.
+CONNECTION_REUSE_DELAY_SECONDS = 0.03
 
 
 @dataclass(frozen=True, slots=True)
 class DownstreamLimits:
-    """Limits on clients; sizes in bytes, times in seconds.
+    """Limits on client connections; sizes in bytes, times in seconds.
 
     Attributes:
-        max_buffered_body_bytes: of a body that can be sent twice; more is relayed where the adapter allows
-            it.
-        evicts_idle_connections: whether an idle connection makes room for a new one, or the new one is
-            refused.
-        first_request_timeout: from a connection's begin until its first request is complete.
-        read_timeout: of a request that has begun.
-        idle_timeout: between requests.
-        write_timeout: for the client to take a response.
-        linger_timeout: for which bytes are read and dropped after the last response: a reset could overtake
-            it.
+        max_head_bytes: maximum size of a request head.
+        max_body_bytes: maximum size of a request body.
+        max_buffered_body_bytes: maximum size of a body that is buffered and can be sent again. The rest of a
+            larger body is relayed as it arrives, where the adapter allows it.
+        max_connections: maximum number of open client connections.
+        evicts_idle_connections: whether a new connection at the limit replaces an idle one; otherwise the new
+            one is refused.
+        first_request_timeout: time from the start of a connection until its first request is complete.
+        read_timeout: timeout for reading a request that has begun.
+        idle_timeout: time that a connection may stay idle between requests.
+        write_timeout: time for the client to accept a response.
+        linger_timeout: time during which received bytes are read and discarded after the last response,
+            because a TCP reset could overtake that response.
     """
 
     max_head_bytes: int
@@ -47,12 +51,17 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLimits:
-    """Limits on servers; sizes in bytes, times in seconds.
+    """Limits on server connections; sizes in bytes, times in seconds.
 
     Attributes:
-        idle_timeout: after which an idle connection is not used any more: the server may be closing it.
-        reuse_delay: between a response and the next request on its connection: bytes may follow the response.
-        max_connections: to all servers.
+        connect_timeout: time to establish a connection.
+        idle_timeout: time after which an idle connection is no longer reused, because the server may be
+            closing it.
+        reuse_delay: time between a response and the next request on the same connection, because stray bytes
+            may follow the response.
+        max_connections_per_server: maximum number of connections to one server.
+        max_connections: maximum number of connections to all servers together.
+        max_buffered_response_bytes: maximum size of a response that is buffered.
     """
 
     connect_timeout: float
@@ -65,13 +74,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """What the head of a request says to the router.
+    """What the router needs to know from the head of a request.
 
     Attributes:
-        timeout: seconds that the client waits.
-        at_most_once_route: the route of a request whose body cannot be sent twice.
-        streams_response: whether a response is relayed as it comes.
-        client_request_id: by which a second request of the same name is known; empty where there is none.
+        route: name of the route.
+        affinity_key: affinity key, or None.
+        timeout: request timeout in seconds.
+        at_most_once_route: name of the route to use if the body cannot be sent again.
+        streams_response: whether the response is relayed as it arrives.
+        client_request_id: the client's own id, by which a repeated request is recognized; empty if the
+            protocol has none.
     """
 
     route: str
@@ -83,45 +95,48 @@
 
 
 class ProtocolAdapter(Protocol):
-    """One protocol, towards clients and servers."""
+    """One protocol, as spoken to clients and to servers."""
 
     @property
     def downstream_limits(self) -> DownstreamLimits:
-        """The limits on clients."""
+        """The limits on client connections."""
 
     @property
     def upstream_limits(self) -> UpstreamLimits:
-        """The limits on servers."""
+        """The limits on server connections."""
 
     def local_response(self, head: RequestHead) -> Response | None:
-        """Return the response to a request that is for the proxy itself, such as a health check."""
+        """Return the response if the request is for the proxy itself, such as a health check, else None."""
 
     def request_metadata(self, head: RequestHead) -> RequestMetadata:
-        """Return what the head says. Raises ProtocolError where the request is not to be accepted."""
+        """Return the request's metadata. Raises ProtocolError if the request must not be accepted."""
 
     def claim_request_id(self, metadata: RequestMetadata) -> None:
-        """A complete request is about to be accepted. Raises ProtocolError where its id has been seen."""
+        """Register the id of a request about to be accepted. Raises ProtocolError if the id is known."""
 
     def request_ended(self, exchange: RequestExchange) -> None:
-        """The request has its response and its last attempt has ended."""
+        """Called when the request has its response and its last attempt has ended."""
 
     def server_address(self, server_id: str) -> str:
-        """Return where to connect for the server. Raises LookupError where that is not known any more."""
+        """Return the server's address. Raises LookupError if the server is no longer known."""
 
     def upstream_headers(self, exchange: RequestExchange, timeout: float) -> Headers:
-        """Return the headers that go to a server, without those that frame the body; `timeout` in seconds."""
+        """Return the request headers to send to a server, without those that frame the body.
+
+        `timeout` is the attempt's timeout in seconds.
+        """
 
     def outcome(self, end: AttemptEnd, response: Response | None) -> Outcome:
-        """Return the outcome of an attempt for the router."""
+        """Return the outcome of an attempt to report to the router."""
 
     def downstream_headers(self, response: Response) -> Headers:
-        """Return the headers that go to the client, without those that frame the body."""
+        """Return the response headers to send to the client, without those that frame the body."""
 
     def rejection_response(self, retry_after: float) -> Response:
-        """Return the response to a rejected request; `retry_after` in seconds, 0 for none."""
+        """Return the response to a rejected request; `retry_after` is in seconds, 0 for none."""
 
     def failure_response(self, status: int) -> Response:
-        """Return the response to a failed request, status 502 or 504."""
+        """Return the response to a failed request; `status` is 502 or 504."""
 
     def server_error_response(self, response: Response) -> Response:
-        """Return what the client gets where a server's own error is the final response."""
+        """Return the response to send to the client if a server's error response is the final one."""
--- a/gullmount/proxy/request_exchange.py
+++ b/gullmount/proxy/request_exchange.py
@@ -1,4 +1,4 @@
-"""One accepted request between its client and the servers, until its last attempt has ended."""
+"""Tracks one accepted request between its client and the servers until its last attempt has ended."""
 
 from __future__ import annotations
 
@@ -14,37 +14,42 @@
 from gullmount.proxy.messages import RequestHead, Response
 from gullmount.proxy.outcomes import AttemptEnd
 
-MAX_QUEUED_RESPONSE_CHUNKS = (
-    4  # of a response that wait for the client before the server's connection fills up
-)
+# Chunks of a relayed response that wait for the client before the proxy stops reading from the server.
+MAX_QUEUED_RESPONSE_CHUNKS = 4
 
 
 class OpenAttempt(Protocol):
-    """An attempt in flight, as far as its request may end it; `deadline` in seconds of its clock."""
+    """An attempt in flight, as seen by its request.
+
+    Attributes:
+        deadline: when the attempt times out, in seconds of the attempt's clock.
+    """
 
     deadline: float
 
     def cancel(self) -> None:
-        """End the attempt: its client has left."""
+        """Cancel the attempt because its client has disconnected."""
 
 
 class RequestExchange:
-    """Holds the one final response; the first one given to `settle` counts.
+    """A request with its attempts and its one final response, which is the first one passed to `settle`.
 
     Attributes:
-        id: the instance's own id of the request.
-        client_request_id: the client's own id, where the protocol has one.
-        body: the request's body, or its first part where `remaining_body` is set.
-        remaining_body: reads the rest of the body, once.
-        remaining_body_read: whether that has begun; the body cannot be sent again then.
-        streams_response: whether a response is relayed as it comes.
-        arrived_at: the earliest time at which it can have arrived, in seconds of the runtime's clock; None
-            for the time at which the router accepts it.
-        deadline: by which the client wants its response, in seconds of the runtime's clock.
-        request: the router's view; None until the router has accepted it.
-        failure_response: what the client gets if the router gives the request up.
+        id: the proxy instance's own id of the request.
+        client_request_id: the client's own id; empty if the protocol has none.
+        body: the request body, or its buffered first part if `remaining_body` is set.
+        remaining_body: reads the rest of the body; it can be called once.
+        remaining_body_read: whether reading the rest has begun; the body then cannot be sent again.
+        streams_response: whether the response is relayed as it arrives.
+        arrived_at: the earliest time at which the request can have arrived, in seconds of the runtime's
+            clock; None stands for the time at which the router accepts it.
+        deadline: when the client expects its response at the latest, in seconds of the runtime's clock.
+        request: the router's request; None until the router has accepted it.
+        failure_response: the response to send if the router gives up the request.
         response_body: the rest of a response that is being relayed.
-        response_truncated: whether a relayed response broke off.
+        response_truncated: whether a relayed response ended prematurely.
+        settled: whether the request needs no further response.
+        on_settled: called when the request becomes settled.
     """
 
     def __init__(
@@ -79,7 +84,7 @@
         self.on_settled: Callable[[], None] | None = None
 
     def begin_attempt(self, server_id: str) -> int:
-        """Count a new attempt and return its number."""
+        """Record a new attempt and return its number."""
         attempt_number = self.attempt_count
         self.attempt_count += 1
         self.attempts_in_flight += 1
@@ -87,20 +92,20 @@
         return attempt_number
 
     def settle(self, response: Response) -> None:
-        """Give the final response; a later one changes nothing."""
+        """Set the final response unless the request is already settled."""
         if not self.settled:
             self.response = response
             self.mark_settled()
 
     def mark_settled(self) -> None:
-        """The request needs no other response."""
+        """Mark the request as needing no further response and notify `on_settled`."""
         if not self.settled:
             self.settled = True
             if self.on_settled is not None:
                 self.on_settled()
 
     def begin_response(self, response: Response, attempt_number: int) -> MemoryObjectSendStream[bytes]:
-        """Settle with a response that attempt `number` has begun; return the stream that takes its body."""
+        """Settle with a response whose body is still arriving; return the stream to write the body to."""
         send_stream, self.response_body = anyio.create_memory_object_stream[bytes](MAX_QUEUED_RESPONSE_CHUNKS)
         self.open_attempts[attempt_number].deadline = inf
         self.settle(response)
@@ -109,7 +114,7 @@
         return send_stream
 
     def client_disconnected(self) -> None:
-        """The client left: its attempts are cancelled and no response is owed."""
+        """Cancel the attempts of a client that has disconnected; it needs no response."""
         if self.client_left:
             return
         self.client_left = True
@@ -121,4 +126,4 @@
 
 
 AttemptEndCallback = Callable[[RequestExchange, int, AttemptEnd, Response | None, float], None]
-"""Takes the request, the attempt's number, how it ended, its response if complete, and its seconds."""
+"""Called with exchange, attempt number, attempt end, response if complete, and duration in seconds."""
