--- a/gullmount/proxy/buffered_downstream.py
+++ b/gullmount/proxy/buffered_downstream.py
@@ -1,6 +1,6 @@
-"""Client connections by callbacks, for messages that are buffered whole: no task per connection.
+"""Serves client connections through callbacks, without a task per connection.
 
-`streaming_downstream.py` also relays bodies in pieces.
+Messages are buffered completely; `streaming_downstream.py` can also relay bodies in pieces.
 """
 
 from __future__ import annotations
@@ -29,22 +29,34 @@
 from gullmount.proxy.request_exchange import RequestExchange
 from gullmount.proxy.runtime import ProxyRuntime
 
-MAX_UNSENT_RESPONSE_BYTES = 262_144  # that wait for one client: four of the longest responses
-MAX_LINGER_BYTES = 131_072  # dropped after the last response: some clients send at full speed
-MAX_READ_AHEAD_BYTES = 65536  # read behind a request in flight before the reading pauses
-MAX_READ_AHEAD_PARTS = 256  # parts of requests likewise, for small pipelined ones
+# Response bytes that may wait for one client: four times the longest response.
+MAX_UNSENT_RESPONSE_BYTES = 262_144
+# Bytes discarded after the last response before the connection is aborted. Some clients send at full speed.
+MAX_LINGER_BYTES = 131_072
+# Bytes read after a request in flight before reading pauses.
+MAX_READ_AHEAD_BYTES = 65536
+# Message parts read after a request in flight before reading pauses; limits small pipelined requests.
+MAX_READ_AHEAD_PARTS = 256
 
 
 class BufferedDownstream:
-    """One client connection; called by the transport, by the end of its request and by the listener's sweep.
+    """One client connection.
+
+    The transport, the request in flight and the listener's sweep call its methods. Times are in seconds of
+    the runtime's clock.
 
     Attributes:
-        deadline: by which the next request must have come, or its client have read its response.
-        unsent_since: when a response was last written with none unsent before it.
+        exchange: the request in flight, if any.
+        head: head of the request that is being read.
+        metadata: metadata of the request that is being read; None if the request is for the proxy itself.
+        local_response: response to a request that is for the proxy itself.
+        deadline: when the next request must be complete or, on an idle connection, must have begun.
+        unsent_since: when a response was last written while no earlier one was unsent.
         data_arrived_at: the earliest time at which the bytes read last can have arrived.
-        closed: nothing is accepted or written any more.
-        lingered_bytes: bytes received since then.
-        rejects_requests: there is no room for the connection; its first request gets 503 and it ends.
+        closed: whether the connection accepts no request and writes no response any more.
+        lingered_bytes: number of bytes received since `closed` was set.
+        rejects_requests: whether the connection exceeds the limit; it then answers its first request with 503
+            and closes.
     """
 
     def __init__(
@@ -61,9 +73,9 @@
         self.transport = transport
         self.parser = RequestParser(self.limits.max_head_bytes)
         self.exchange: RequestExchange | None = None
-        self.head: RequestHead | None = None  # of the request that is being read
+        self.head: RequestHead | None = None
         self.metadata: RequestMetadata | None = None
-        self.local_response: Response | None = None  # to a request that is for the proxy itself
+        self.local_response: Response | None = None
         self.body_parts: list[bytes] = []
         self.body_size = 0
         self.bytes_read_ahead = 0
@@ -81,18 +93,18 @@
 
     @property
     def busy(self) -> bool:
-        """From a request's acceptance until its response has left."""
+        """Whether an accepted request still awaits its response or the response is still being sent."""
         return self.exchange is not None or self.transport.unsent_bytes > 0
 
     @property
     def response_delivered(self) -> bool:
-        """Whether all has left and only the client's end is waited for."""
+        """Whether everything has been sent and the connection only waits for the client to close."""
         return self.closed and not self.transport.unsent_bytes
 
     # Called by the transport.
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a request, or what the client still sends after the last response."""
+        """Parse received bytes; discard those that follow the last response."""
         if self.closed:
             self.lingered_bytes += len(data)
             if self.lingered_bytes > MAX_LINGER_BYTES:
@@ -114,11 +126,11 @@
 
     @property
     def read_ahead_is_full(self) -> bool:
-        """Whether what was read behind the request in flight is at its limit."""
+        """Whether the data read after the request in flight exceeds a limit."""
         return self.bytes_read_ahead > MAX_READ_AHEAD_BYTES or len(self.parser.parts) > MAX_READ_AHEAD_PARTS
 
     def connection_ended(self, _clean: bool) -> None:
-        """The client has gone; HTTP has no half close, so that any end is one."""
+        """Handle the client's disconnection. HTTP has no half-close, so any end of the stream is one."""
         self.closed = True
         if self.exchange is not None:
             self.exchange.client_disconnected()
@@ -127,7 +139,7 @@
     # Called by the listener.
 
     def check_deadline(self, now: float) -> None:
-        """End a connection whose time is up, with an error if it has begun a request."""
+        """Close the connection if its deadline has passed; answer a request that has begun with an error."""
         if self.exchange is not None:
             return
         if self.transport.unsent_bytes:
@@ -143,11 +155,11 @@
                 self.send_error(ProtocolError(REQUEST_TIMEOUT, "too slow"))
 
     def close(self) -> None:
-        """End the connection, on which nothing may be in flight.
+        """Close the connection; no request may be in flight.
 
-        An idle one stays if its client has just sent something that has not been read. While the client may
-        still be sending, only our side ends, and what comes is dropped for a while (RFC 9112, 9.6): a reset
-        could overtake the response just written.
+        An idle connection stays open if its client has sent data that has not been read. If a response was
+        just written, only the sending side is closed and received data is discarded for a while (RFC 9112,
+        section 9.6), because a TCP reset could overtake the response.
         """
         if self.closed or (self.idle and not self.transport.is_quiet):
             return
@@ -161,19 +173,19 @@
             self.transport.close()
 
     def reject_unread_request(self) -> None:
-        """End a connection whose request has not been read to its end: its client may send it again."""
+        """Reject a request that has not been read completely; its client may send it again."""
         if self.exchange is None and not self.closed and not self.idle:
             self.send_error(ProtocolError(SERVICE_UNAVAILABLE, "stopping"))
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Abort the connection at once."""
         self.closed = True
         self.transport.abort()
 
     # Reading requests.
 
     def process_parts(self) -> None:
-        """Accept what was read, one request after the other, until one is in flight or nothing is left."""
+        """Accept parsed requests one at a time until one is in flight or no parts are left."""
         if self.processing_parts:
             return
         self.processing_parts = True
@@ -188,7 +200,7 @@
             self.processing_parts = False
 
     def finish_processing(self) -> None:
-        """Nothing that was read is left. Raises ProtocolError where the parser found an error behind it."""
+        """Act on the parser's state once all parts are consumed. Raises ProtocolError if parsing failed."""
         if self.parser.error is not None:
             raise self.parser.error
         if self.parser.expects_continue:
@@ -198,7 +210,7 @@
             self.close()
 
     def read_part(self) -> None:
-        """Take the next part of a request. Raises ProtocolError."""
+        """Process the next part of a request. Raises ProtocolError if the request is not acceptable."""
         part = self.parser.parts.popleft()
         if isinstance(part, RequestHead):
             self.read_head(part)
@@ -211,7 +223,7 @@
             self.accept_request()
 
     def read_head(self, head: RequestHead) -> None:
-        """Check the head of a request. Raises ProtocolError."""
+        """Validate the head of a request. Raises ProtocolError if it is not acceptable."""
         length = head.get("content-length")
         if length is not None and int(length) > self.limits.max_body_bytes:
             raise ProtocolError(CONTENT_TOO_LARGE, "body too large")
@@ -221,9 +233,9 @@
         self.metadata = adapter.request_metadata(head) if self.local_response is None else None
 
     def accept_request(self) -> None:
-        """Hand a complete request to the router, or answer one that is for the proxy itself.
+        """Pass a complete request to the router, or answer it if it is for the proxy itself.
 
-        Raises ProtocolError.
+        Raises ProtocolError if the request is not accepted.
         """
         head, metadata, body = self.head, self.metadata, b"".join(self.body_parts)
         assert head is not None
@@ -231,13 +243,15 @@
         if self.rejects_requests:
             raise ProtocolError(SERVICE_UNAVAILABLE, "too many connections")
         if self.runtime.stalls.recent and self.transport.peer_has_ended:
-            self.abort()  # the client left while this process did not run
+            # The client disconnected while this process was stalled.
+            self.abort()
             return
         if metadata is None:
             assert self.local_response is not None
             self.write_response(self.local_response, self.local_response.headers, omit_body=False)
             return
-        # A client's timeout begins with its last byte: many write slowly, and the head says nothing of that.
+        # The client's timeout starts with the last byte of its request: many clients write slowly, and the
+        # head does not tell when they began.
         exchange = self.runtime.new_exchange(head, body, self.data_arrived_at, metadata)
         exchange.on_settled = self.request_settled
         self.exchange = exchange
@@ -251,7 +265,7 @@
     # Writing responses.
 
     def request_settled(self) -> None:
-        """The request in flight has its final response, or its client left."""
+        """Write the final response of the request in flight, unless its client has disconnected."""
         exchange, self.exchange = self.exchange, None
         assert exchange is not None
         if exchange.client_left or self.closed:
@@ -269,7 +283,7 @@
         self.process_parts()
 
     def write_response(self, response: Response, headers: Headers, omit_body: bool) -> None:
-        """Write a response and get ready for the next request, or end the connection."""
+        """Write a response, then prepare for the next request or close the connection."""
         framed_headers = [pair for pair in headers if pair[0] != b"content-length"]
         is_last = self.runtime.shutting_down or not self.parser.keep_alive
         if is_last:
@@ -291,7 +305,7 @@
         self.deadline = self.idle_since + timeout
 
     def send_response_bytes(self, data: bytes) -> None:
-        """Write; a client that sends requests and reads no responses is cut off."""
+        """Write data; abort the connection if the client does not read its responses."""
         self.last_write_at = self.runtime.now()
         if not self.transport.unsent_bytes:
             self.unsent_since = self.last_write_at
@@ -300,7 +314,7 @@
             self.abort()
 
     def send_error(self, error: ProtocolError) -> None:
-        """Answer a request that is not accepted; the connection ends with it."""
+        """Answer a request that is not accepted and close the connection."""
         self.runtime.log_event(LogEvent.REQUEST_NOT_ACCEPTED, status=error.status, reason=error.reason)
         self.send_response_bytes(encode_error(error, []))
         self.close()
--- a/gullmount/proxy/listener.py
+++ b/gullmount/proxy/listener.py
@@ -1,4 +1,7 @@
-"""Where client connections come in: how many, which make room for new ones, and the graceful shutdown."""
+"""Accepts client connections, limits their number and shuts them down gracefully.
+
+At the limit, idle connections may be evicted to admit new ones.
+"""
 
 from __future__ import annotations
 
@@ -14,16 +17,27 @@
 from gullmount.proxy.runtime import ProxyRuntime
 from gullmount.proxy.streaming_downstream import StreamingDownstream
 
-SHUTDOWN_POLL_INTERVAL_SECONDS = 0.01  # between looks whether the last responses have left
-SHUTDOWN_IDLE_SECONDS = 0.1  # without a byte before an idle connection ends: a request may be on its way
-MAX_OVERFLOW_CONNECTIONS = 32  # beyond the limit, held for one response each: a request may be here already
+# Interval at which a shutdown checks whether the last responses have been sent.
+SHUTDOWN_POLL_INTERVAL_SECONDS = 0.01
+# Idle time after which a shutdown closes a connection. A request may be on its way until then.
+SHUTDOWN_IDLE_SECONDS = 0.1
+# Connections that are accepted beyond the limit, each for one error response, because their request may
+# already have arrived.
+MAX_OVERFLOW_CONNECTIONS = 32
 SWEEP_INTERVAL_SECONDS = 0.2
 
 ConnectionT = TypeVar("ConnectionT", bound=DownstreamConnection)
 
 
 class Listener(Generic[ConnectionT]):
-    """The client connections of one instance, the oldest first."""
+    """Accepts and tracks the client connections of one proxy instance.
+
+    Attributes:
+        connections: open connections, oldest first.
+        accept_scope: cancelled to stop accepting connections.
+        listening: set once connections are accepted.
+        closed: set once the listening socket is closed.
+    """
 
     def __init__(self, runtime: ProxyRuntime, net: Net, task_group: TaskGroup) -> None:
         self.runtime = runtime
@@ -40,44 +54,48 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether there is no room for another connection."""
+        """Whether the number of connections is at the limit."""
         return len(self.connections) >= self.runtime.adapter.downstream_limits.max_connections
 
     def idle_connections(self) -> list[ConnectionT]:
-        """Return the idle connections in the order in which they make room for new ones.
+        """Return the idle connections in the order in which they are evicted.
 
-        Those that never sent a request go first: some clients connect by the hundred and say nothing.
+        Connections that have never sent a request come first, because some clients open hundreds of
+        connections and send nothing.
         """
         idle = [conn for conn in self.connections if conn.idle and not conn.busy]
         return sorted(idle, key=lambda conn: (conn.requests_accepted > 0, conn.idle_since))
 
     def remove_connection(self, connection: ConnectionT) -> None:
-        """The connection has ended, or counts as ended though its end has not been reported yet."""
+        """Stop tracking a connection that has ended, or whose end is certain but not reported yet."""
         self.connections.pop(connection, None)
 
     async def stop(self, accept_seconds: float = 0.0, read_seconds: float = 0.0) -> None:
         """Shut down gracefully: refuse connections and wait until each accepted request has its response.
 
-        Connections are accepted for `after` seconds more; for `within` seconds after that, requests that
-        have begun to come may still be completed.
+        Args:
+            accept_seconds: how long connections are still accepted.
+            read_seconds: how long requests that have begun to arrive may still be completed after that.
         """
         self.runtime.log_event(LogEvent.SHUTDOWN_STARTED, open_requests=len(self.runtime.exchanges))
         self.runtime.shutting_down = True
         await anyio.sleep(accept_seconds)
         self.accept_scope.cancel()
         if self.listening.is_set():
-            await self.closed.wait()  # the kernel accepts until then, and what it accepted is served
+            # The kernel accepts connections until then, and those are still served.
+            await self.closed.wait()
         self.runtime.refuses_requests = True
         await self.wait_for_unread_requests(read_seconds)
         for connection in list(self.connections):
             connection.reject_unread_request()
         await self.runtime.wait_until_idle()
-        while any(connection.busy for connection in self.connections):  # bounded by the write timeout
+        # The write timeout bounds this wait.
+        while any(connection.busy for connection in self.connections):
             await anyio.sleep(SHUTDOWN_POLL_INTERVAL_SECONDS)
         self.runtime.log_event(LogEvent.SHUTDOWN_COMPLETE)
 
     async def wait_for_unread_requests(self, read_seconds: float) -> None:
-        """Wait up to `within` seconds until no connection is left, closing those that stay idle."""
+        """Wait up to `read_seconds` until no connection is left, closing those that stay idle."""
         deadline = self.runtime.now() + read_seconds
         while read_seconds and self.connections and self.runtime.now() < deadline:
             idle_cutoff = self.runtime.now() - SHUTDOWN_IDLE_SECONDS
@@ -88,7 +106,7 @@
 
 
 class StreamingListener(Listener[StreamingDownstream]):
-    """Serves each connection in a task."""
+    """Serves each connection in a task of its own."""
 
     async def listen(self, address: str) -> None:
         """Accept connections until `accept_scope` is cancelled. Raises OSError for an unusable address."""
@@ -97,11 +115,11 @@
         self.closed.set()
 
     async def start_serving(self, stream: Stream) -> None:
-        """Serve the connection in a task that outlives the listening."""
+        """Serve the connection in a task that continues after the listening socket is closed."""
         self.task_group.start_soon(self.serve_connection, stream)
 
     async def serve_connection(self, stream: Stream) -> None:
-        """Serve the connection until it ends, if there is room for it."""
+        """Serve the connection until it ends; close it at once if the limit is reached."""
         if self.is_full and self.runtime.adapter.downstream_limits.evicts_idle_connections:
             self.evict_idle_connection()
         if self.is_full or self.runtime.refuses_requests:
@@ -116,7 +134,7 @@
             self.remove_connection(connection)
 
     def evict_idle_connection(self) -> None:
-        """Close an idle connection, if there is one, to make room for a new one."""
+        """Close one idle connection, if any, to admit a new one."""
         idle = self.idle_connections()
         if idle:
             idle[0].close()
@@ -124,7 +142,7 @@
 
 
 class BufferedListener(Listener[BufferedDownstream]):
-    """Serves each connection by callbacks."""
+    """Serves connections through callbacks, without a task per connection."""
 
     async def listen(self, address: str) -> None:
         """Accept connections until `accept_scope` is cancelled. Raises OSError for an unusable address."""
@@ -134,7 +152,7 @@
         self.closed.set()
 
     def make_connection(self, transport: Transport) -> BufferedDownstream | None:
-        """Return who serves the connection; None where it is dropped at once."""
+        """Return the protocol object for a new connection, or None to drop the connection."""
         limits = self.runtime.adapter.downstream_limits
         if self.is_full and limits.evicts_idle_connections:
             self.evict_idle_connection()
@@ -150,10 +168,10 @@
         return connection
 
     def evict_idle_connection(self) -> None:
-        """Close a connection of no more use, if there is one, to make room for a new one.
+        """Close one connection that is no longer needed, if any, to admit a new one.
 
-        One that only waits for its client to close goes first. An idle one whose client has just sent
-        something that has not been read stays, and the next one goes.
+        A connection that only waits for its client to close is evicted first. An idle connection with unread
+        data from its client is skipped in favor of the next one.
         """
         finished_connection = next((conn for conn in self.connections if conn.response_delivered), None)
         if finished_connection is not None:
@@ -167,7 +185,7 @@
                 return
 
     async def sweep(self) -> None:
-        """End connections whose time is up, until cancelled."""
+        """Check the deadlines of all connections periodically until cancelled."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL_SECONDS)
             await self.runtime.stalls.wait_until_resumed()
--- a/gullmount/proxy/read_ahead.py
+++ b/gullmount/proxy/read_ahead.py
@@ -1,4 +1,7 @@
-"""Reads a stream ahead in a task of its own, so that its end is seen while nobody waits for data."""
+"""Reads ahead on a stream in a separate task.
+
+The end of the stream is thereby detected even while no caller waits for data.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +12,20 @@
 
 from gullmount.net import STREAM_ERRORS, Stream
 
-MAX_BUFFERED_BYTES = 65536  # read ahead before the reading waits: a usual socket buffer
-CHUNK_BYTES = 65536  # of one read
+# Reading pauses at this many unconsumed bytes, the size of a usual socket buffer.
+MAX_BUFFERED_BYTES = 65536
+# Maximum size of one read.
+CHUNK_BYTES = 65536
 
 
 class ReadAheadStream:
-    """The incoming side of a stream; `run` is its task.
+    """Buffers what a stream receives. `run` must run in a task of its own.
 
     Attributes:
+        arrival_time: returns the arrival time of the data that has just been read.
         ended: whether the stream has ended.
-        on_end: is called then.
-        received_at: when what was received last had arrived, as `arrival_time` told it.
+        on_end: called when the stream ends.
+        received_at: arrival time of the data that `receive` returned last.
     """
 
     def __init__(self, stream: Stream, arrival_time: Callable[[], float] = anyio.current_time) -> None:
@@ -35,7 +41,7 @@
         self._data_consumed = anyio.Event()
 
     async def run(self) -> None:
-        """Read until the stream ends."""
+        """Read until the stream ends; pause while the buffer is full."""
         try:
             while True:
                 data = await self.stream.receive(CHUNK_BYTES)
@@ -55,7 +61,10 @@
                 self.on_end()
 
     async def receive(self) -> bytes:
-        """Return the next bytes, or none once the stream has ended. Cancelling loses none."""
+        """Return the next bytes, or `b""` once the stream has ended.
+
+        Cancelling this call loses no data.
+        """
         while not self.chunks:
             if self.ended:
                 return b""
--- a/gullmount/proxy/streaming_downstream.py
+++ b/gullmount/proxy/streaming_downstream.py
@@ -1,6 +1,6 @@
-"""Client connections in a task each, for the generic adapter: bodies may be relayed in pieces, either way.
+"""Serves client connections for the generic adapter, each in a task of its own.
 
-`buffered_downstream.py` serves clients whose messages are buffered whole.
+Request and response bodies may be relayed in pieces; `buffered_downstream.py` buffers messages completely.
 """
 
 from __future__ import annotations
@@ -36,24 +36,26 @@
 from gullmount.proxy.request_exchange import RequestExchange
 from gullmount.proxy.runtime import ProxyRuntime
 
-MAX_LINGER_BYTES = 1 << 20  # read and dropped after the last response
+# Bytes read and discarded after the last response before the connection is closed.
+MAX_LINGER_BYTES = 1 << 20
 UNSUPPORTED_METHODS = ("CONNECT", "TRACE")
 
 
 class ClientDisconnectedError(GullmountError):
-    """The client closed its connection, or fell silent, outside of an accepted request."""
+    """The client closed its connection or stopped sending, outside of an accepted request."""
 
     def __init__(self) -> None:
-        super().__init__("the client has gone")
+        super().__init__("the client disconnected or stopped sending")
 
 
 class StreamingDownstream:
     """One client connection.
 
     Attributes:
-        busy: from a request's acceptance until its response has left.
-        idle: between requests.
-        request_complete: whether the request in flight was read to its end.
+        exchange: the request in flight, if any.
+        busy: whether an accepted request still awaits its response or the response is still being sent.
+        idle: whether the connection is between requests.
+        request_complete: whether the request in flight has been read completely.
     """
 
     def __init__(self, runtime: ProxyRuntime, stream: Stream) -> None:
@@ -72,19 +74,19 @@
         self.request_complete = True
 
     def arrival_time(self) -> float:
-        """Return the earliest time at which what is being read can have arrived."""
+        """Return the earliest time at which the data just read can have arrived."""
         return self.runtime.stalls.arrival_time(lambda: stream_seconds_since_data(self.stream))
 
     def connection_ended(self) -> None:
-        """The client has gone."""
+        """Cancel the request in flight, if any, because the client has disconnected."""
         if self.exchange is not None:
             self.exchange.client_disconnected()
 
     def reject_unread_request(self) -> None:
-        """Nothing to do: what has not been accepted ends with the connection."""
+        """Do nothing: a request that has not been accepted ends with its connection."""
 
     def close(self) -> None:
-        """End the connection, which must be idle."""
+        """Close the connection, which must be idle."""
         self.connection_scope.cancel()
 
     async def run(self) -> None:
@@ -104,7 +106,7 @@
             await anyio.aclose_forcefully(self.stream)
 
     async def serve_requests(self) -> None:
-        """Accept and answer one request after the other. Raises ClientGoneError."""
+        """Accept and answer requests one at a time. Raises ClientDisconnectedError."""
         while True:
             try:
                 exchange = await self.accept_request()
@@ -125,11 +127,11 @@
 
     @property
     def is_last_response(self) -> bool:
-        """Whether the connection ends with the response in hand."""
+        """Whether the connection closes after the current response."""
         return self.runtime.shutting_down or not self.request_complete or not self.parser.keep_alive
 
     async def wait_until_settled(self, exchange: RequestExchange) -> None:
-        """Wait until the request has its final response or its client left."""
+        """Wait until the request has its final response or its client has disconnected."""
         if not exchange.settled:
             settled = anyio.Event()
             exchange.on_settled = settled.set
@@ -138,12 +140,14 @@
     # Reading requests.
 
     async def next_part(self, timeout: float) -> MessagePart:
-        """Return the next part of a request, within `timeout` seconds.
+        """Return the next part of a request; wait for it up to `timeout` seconds.
 
-        Raises ProtocolError, and ClientGoneError where the client says nothing between requests.
+        Raises ProtocolError if the request is malformed or too slow, and ClientDisconnectedError if the
+        client disconnects or stays silent between requests.
         """
         parser = self.parser
-        if parser.parts:  # no time limit for what has been read already
+        # Parts that are already parsed have no time limit.
+        if parser.parts:
             return parser.parts.popleft()
         with anyio.move_on_after(timeout):
             while True:
@@ -164,7 +168,10 @@
         raise ProtocolError(REQUEST_TIMEOUT, "too slow")
 
     async def read_head(self) -> RequestHead:
-        """Read and check the head of the next request. Raises ProtocolError or ClientGoneError."""
+        """Read and validate the head of the next request.
+
+        Raises ProtocolError or ClientDisconnectedError.
+        """
         timeout = self.limits.idle_timeout
         if not self.requests_accepted:
             timeout = min(timeout, self.limits.first_request_timeout)
@@ -180,9 +187,9 @@
         return head
 
     async def accept_request(self) -> RequestExchange | None:
-        """Read the next request and hand it to the router, or answer one that is for the proxy itself.
+        """Read the next request and pass it to the router, or answer it if it is for the proxy itself.
 
-        Raises ProtocolError or ClientGoneError.
+        Raises ProtocolError or ClientDisconnectedError.
         """
         self.idle = not self.parser.parts
         self.idle_since = self.runtime.now()
@@ -198,7 +205,8 @@
         if self.runtime.stalls.recent:
             await self.runtime.stalls.wait_until_resumed()
             if self.incoming.ended or stream_peer_has_ended(self.stream):
-                raise ClientDisconnectedError  # it left while this process did not run
+                # The client disconnected while this process was stalled.
+                raise ClientDisconnectedError
         exchange = self.runtime.new_exchange(head, body, arrived_at, metadata)
         if not self.request_complete:
             exchange.remaining_body = self.remaining_body
@@ -209,7 +217,7 @@
         return exchange
 
     async def buffer_body(self) -> bytes:
-        """Read the body up to the size that is buffered; `request_complete` says whether that is all."""
+        """Read the body up to the buffer limit; `request_complete` tells whether that is all of it."""
         parts: list[bytes] = []
         size = 0
         while size <= self.limits.max_buffered_body_bytes:
@@ -222,7 +230,7 @@
         return b"".join(parts)
 
     async def remaining_body(self) -> AsyncIterator[bytes]:
-        """Read what follows the buffered part of a body; a client that breaks off here has left."""
+        """Yield the body after its buffered part. An error or a close here counts as a disconnection."""
         size = self.limits.max_buffered_body_bytes
         while True:
             try:
@@ -235,26 +243,27 @@
             size += len(part) if isinstance(part, bytes) else 0
             if not isinstance(part, bytes) or size > self.limits.max_body_bytes:
                 self.connection_ended()
-                await anyio.sleep_forever()  # the attempt is being cancelled
+                # The attempt is being cancelled.
+                await anyio.sleep_forever()
             else:
                 yield part
 
     # Writing responses.
 
     async def write(self, data: bytes | None) -> None:
-        """Write within the write timeout. Raises TimeoutError, or what a broken stream raises."""
+        """Write data. Raises TimeoutError after the write timeout, or the error of a broken stream."""
         if data:
             with anyio.fail_after(self.limits.write_timeout):
                 await self.stream.send(data)
 
     async def send_error(self, error: ProtocolError) -> None:
-        """Answer a request that is not accepted; the connection ends with it."""
+        """Answer a request that is not accepted, then discard what the client still sends."""
         self.runtime.log_event(LogEvent.REQUEST_NOT_ACCEPTED, status=error.status, reason=error.reason)
         await self.write(encode_error(error, [(b"content-type", b"text/plain")]))
         await self.linger()
 
     async def write_response(self, exchange: RequestExchange) -> None:
-        """Write the one final response."""
+        """Write the final response of the request."""
         response = exchange.response
         assert response is not None
         headers = self.runtime.adapter.downstream_headers(response)
@@ -270,7 +279,10 @@
     async def relay_response_body(
         self, exchange: RequestExchange, response: Response, headers: Headers
     ) -> None:
-        """Relay a response as it comes. One that breaks off is not ended, so that the client can tell."""
+        """Relay a response as it arrives.
+
+        A truncated response is not terminated, so that the client can detect the truncation.
+        """
         assert exchange.response_body is not None
         chunked = not any(name == b"content-length" for name, _ in headers)
         if chunked:
@@ -285,7 +297,10 @@
             await self.write(LAST_CHUNK)
 
     async def linger(self) -> None:
-        """End our side and drop what the client still sends: a reset could overtake the response."""
+        """Close the sending side and discard what the client still sends.
+
+        Without this, a TCP reset could overtake the response.
+        """
         with anyio.move_on_after(self.limits.linger_timeout):
             await self.stream.send_eof()
             size = 0
