--- a/tests/proxy/test_listener_shutdown.py
+++ b/tests/proxy/test_listener_shutdown.py
@@ -37,249 +37,265 @@
     wait_until,
 )
 
-ONCE = "submit-exam"
-CLOSES = b"connection: close\r\n"
+AT_MOST_ONCE_ROUTE = "submit-exam"
+CONNECTION_CLOSE_HEADER = b"connection: close\r\n"
 
 
-async def stop(scene: ProxyHarness, during: Callable[[], Awaitable[None]], within: float = 2.0) -> None:
+async def stop_listener(
+    target: ProxyHarness, during: Callable[[], Awaitable[None]], read_seconds: float = 2.0
+) -> None:
     """Stop as at SIGTERM, but with no time in which clients still come; `during` once the doors are shut.
     As the stop ends, and the process with it, nobody may be in the middle of a req."""
 
-    async def whole() -> None:
-        await scene.proxy.listener.stop(0.0, within)
-        assert not [front for front in scene.proxy.listener.connections if front.busy or not front.closed]
+    async def run_stop() -> None:
+        await target.proxy.listener.stop(0.0, read_seconds)
+        assert not [
+            connection
+            for connection in target.proxy.listener.connections
+            if connection.busy or not connection.closed
+        ]
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(whole)
-        await wait_until(lambda: scene.runtime.refuses_requests)
+        tasks.start_soon(run_stop)
+        await wait_until(lambda: target.runtime.refuses_requests)
         await during()
 
 
-async def nothing() -> None:
+async def do_nothing() -> None:
     pass
 
 
-def test_what_the_machine_has_accepted_is_taken(tmp_path: Path) -> None:
+def test_connections_in_accept_queue_get_response_at_shutdown(tmp_path: Path) -> None:
     """Reqs in the accept queue as the listener closes: more than the loop accepts in one turn."""
 
-    async def scene() -> None:
-        async with proxy_harness(tmp_path) as made:
+    async def scenario() -> None:
+        async with proxy_harness(tmp_path) as harness:
             # Each is rejected at once: only its being accepted counts here.
-            made.runtime.router.endpoints.ready_by_build = {}
-            asking = [client(request_bytes(f"a{number}")) for number in range(100)]
-            made.proxy.listener.accept_scope.cancel()
-            await stop(made, nothing)
-            for one in asking:
-                got = await receive_until_eof(one)
-                assert got.startswith(b"HTTP/1.1 503 ") and CLOSES in got
-
-    run_scenario(scene)
-
-
-@pytest.mark.parametrize("cut", [1, 40, -3], ids=["a byte", "half a head", "half a body"])
-def test_a_req_that_has_begun_to_come_is_read_to_its_end(tmp_path: Path, cut: int) -> None:
-    data = request_bytes("a1", ONCE, body=b"body")
-
-    async def scene() -> None:
-        async with proxy_harness(tmp_path) as made:
-            asking = client(data[:cut])
-            await wait_until(lambda: any(not front.idle for front in made.proxy.listener.connections))
+            harness.runtime.router.endpoints.ready_by_build = {}
+            client_sockets = [client(request_bytes(f"a{number}")) for number in range(100)]
+            harness.proxy.listener.accept_scope.cancel()
+            await stop_listener(harness, do_nothing)
+            for connected_socket in client_sockets:
+                response = await receive_until_eof(connected_socket)
+                assert response.startswith(b"HTTP/1.1 503 ") and CONNECTION_CLOSE_HEADER in response
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize("split_at", [1, 40, -3], ids=["a byte", "half a head", "half a body"])
+def test_partly_received_request_is_completed_during_shutdown(tmp_path: Path, split_at: int) -> None:
+    data = request_bytes("a1", AT_MOST_ONCE_ROUTE, body=b"body")
+
+    async def scenario() -> None:
+        async with proxy_harness(tmp_path) as harness:
+            client_socket = client(data[:split_at])
+            await wait_until(
+                lambda: any(not connection.idle for connection in harness.proxy.listener.connections)
+            )
 
-            async def goes_on() -> None:
-                asking.sendall(data[cut:])
-                box = await accept(made.server_listener)
-                assert (await receive_message(box)).endswith(b"body")
-                box.sendall(OK)
-                got = await receive_until_eof(asking)
-                assert got.endswith(b"\r\n\r\nok") and CLOSES in got
-                asking.close()
+            async def finish_request() -> None:
+                client_socket.sendall(data[split_at:])
+                server_connection = await accept(harness.server_listener)
+                assert (await receive_message(server_connection)).endswith(b"body")
+                server_connection.sendall(OK)
+                response = await receive_until_eof(client_socket)
+                assert response.endswith(b"\r\n\r\nok") and CONNECTION_CLOSE_HEADER in response
+                client_socket.close()
 
-            await stop(made, goes_on)
-            assert not made.proxy.listener.connections
+            await stop_listener(harness, finish_request)
+            assert not harness.proxy.listener.connections
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
-def test_a_req_that_never_becomes_whole_is_turned_away_in_time(tmp_path: Path) -> None:
+def test_incomplete_request_gets_503_before_shutdown_ends(tmp_path: Path) -> None:
     """503 before SIGKILL, and a clean end: nothing of it has been sent on."""
 
-    async def scene() -> None:
-        async with proxy_harness(tmp_path) as made:
-            asking = client(request_bytes("a1", ONCE, body=b"body")[:-1])
-            await wait_until(lambda: any(not front.idle for front in made.proxy.listener.connections))
-            await stop(made, nothing, within=0.05)
-            got = await receive_until_eof(asking)
+    async def scenario() -> None:
+        async with proxy_harness(tmp_path) as harness:
+            client_socket = client(request_bytes("a1", AT_MOST_ONCE_ROUTE, body=b"body")[:-1])
+            await wait_until(
+                lambda: any(not connection.idle for connection in harness.proxy.listener.connections)
+            )
+            await stop_listener(harness, do_nothing, read_seconds=0.05)
+            response = await receive_until_eof(client_socket)
             assert (
-                got.startswith(b"HTTP/1.1 503 ") and CLOSES in got and not is_readable(made.server_listener)
+                response.startswith(b"HTTP/1.1 503 ")
+                and CONNECTION_CLOSE_HEADER in response
+                and not is_readable(harness.server_listener)
             )
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
-def test_a_silent_connection_ends_and_one_that_speaks_in_the_last_moment_is_served(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with proxy_harness(tmp_path) as made:
-            silent, late = client(), client()
-            await wait_until(lambda: len(made.proxy.listener.connections) == 2)
+def test_shutdown_closes_silent_connection_and_serves_late_request(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with proxy_harness(tmp_path) as harness:
+            silent_client, late_client = client(), client()
+            await wait_until(lambda: len(harness.proxy.listener.connections) == 2)
 
-            async def speaks() -> None:
-                late.sendall(request_bytes("a1"))
-                box = await accept(made.server_listener)
-                await receive_message(box)
-                box.sendall(OK)
-                assert (await receive_until_eof(late)).endswith(b"\r\n\r\nok")
-                late.close()
+            async def send_late_request() -> None:
+                late_client.sendall(request_bytes("a1"))
+                server_connection = await accept(harness.server_listener)
+                await receive_message(server_connection)
+                server_connection.sendall(OK)
+                assert (await receive_until_eof(late_client)).endswith(b"\r\n\r\nok")
+                late_client.close()
 
-            await stop(made, speaks)
-            assert await receive_until_eof(silent) == b""
+            await stop_listener(harness, send_late_request)
+            assert await receive_until_eof(silent_client) == b""
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
-def test_a_second_req_behind_the_first_gets_no_half_answer(tmp_path: Path) -> None:
+def test_pipelined_request_during_shutdown_gets_no_partial_response(tmp_path: Path) -> None:
     """The first says that the connection closes (RFC 9112, 9.6); its answer is read whole, then a clean end,
     though the second was never read."""
 
-    async def scene() -> None:
-        async with proxy_harness(tmp_path) as made:
-            asking = client(request_bytes("a1", ONCE, body=b"x"))
-            box = await accept(made.server_listener)
-            await receive_message(box)
-
-            async def behind() -> None:
-                box.sendall(OK)
-                asking.sendall(request_bytes("a2", ONCE, body=b"y" * 2000))
-                got = await receive_until_eof(asking)
-                assert got.count(b"HTTP/1.1 ") == 1 and CLOSES in got and got.endswith(b"\r\n\r\nok")
-                asking.close()
+    async def scenario() -> None:
+        async with proxy_harness(tmp_path) as harness:
+            client_socket = client(request_bytes("a1", AT_MOST_ONCE_ROUTE, body=b"x"))
+            server_connection = await accept(harness.server_listener)
+            await receive_message(server_connection)
+
+            async def send_second_request() -> None:
+                server_connection.sendall(OK)
+                client_socket.sendall(request_bytes("a2", AT_MOST_ONCE_ROUTE, body=b"y" * 2000))
+                response = await receive_until_eof(client_socket)
+                assert (
+                    response.count(b"HTTP/1.1 ") == 1
+                    and CONNECTION_CLOSE_HEADER in response
+                    and response.endswith(b"\r\n\r\nok")
+                )
+                client_socket.close()
 
-            await stop(made, behind)
-            assert not is_readable(made.server_listener)
+            await stop_listener(harness, send_second_request)
+            assert not is_readable(harness.server_listener)
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("state", ["connecting", "out", "retry"])
-def test_a_try_that_is_under_way_ends_in_its_answer(tmp_path: Path, state: str) -> None:
-    async def scene() -> None:
-        async with proxy_harness(tmp_path, server_count=2) as made:
+def test_attempt_in_flight_at_shutdown_gets_its_response(tmp_path: Path, state: str) -> None:
+    async def scenario() -> None:
+        async with proxy_harness(tmp_path, server_count=2) as harness:
             if state == "connecting":
-                made.net.connects_allowed = anyio.Event()
-            asking = client(request_bytes("a1"))
-            await wait_until(lambda: made.net.connects_started)
+                harness.net.connects_allowed = anyio.Event()
+            client_socket = client(request_bytes("a1"))
+            await wait_until(lambda: harness.net.connects_started)
 
-            async def ends() -> None:
-                made.net.connects_allowed.set()
+            async def finish_attempt() -> None:
+                harness.net.connects_allowed.set()
                 await wait_until(
-                    lambda: is_readable(made.server_listener) or is_readable(made.other_server_listener)
+                    lambda: is_readable(harness.server_listener) or is_readable(harness.other_server_listener)
                 )
-                first, second = (
-                    (made.server_listener, made.other_server_listener)
-                    if is_readable(made.server_listener)
-                    else (made.other_server_listener, made.server_listener)
+                first_listener, second_listener = (
+                    (harness.server_listener, harness.other_server_listener)
+                    if is_readable(harness.server_listener)
+                    else (harness.other_server_listener, harness.server_listener)
                 )
-                box = await accept(first)
-                await receive_message(box)
+                server_connection = await accept(first_listener)
+                await receive_message(server_connection)
                 if state == "retry":
-                    box.close()
-                    box = await accept(second)
-                    await receive_message(box)
-                box.sendall(OK)
-                got = await receive_until_eof(asking)
-                assert got.endswith(b"\r\n\r\nok") and CLOSES in got
-                asking.close()
+                    server_connection.close()
+                    server_connection = await accept(second_listener)
+                    await receive_message(server_connection)
+                server_connection.sendall(OK)
+                response = await receive_until_eof(client_socket)
+                assert response.endswith(b"\r\n\r\nok") and CONNECTION_CLOSE_HEADER in response
+                client_socket.close()
 
-            await stop(made, ends)
-            assert not made.runtime.exchanges
+            await stop_listener(harness, finish_attempt)
+            assert not harness.runtime.exchanges
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
-def test_an_answer_half_written_to_a_slow_client_is_written_to_its_end(tmp_path: Path) -> None:
+def test_partly_written_response_to_slow_client_is_completed(tmp_path: Path) -> None:
     body = b"z" * 60_000
 
-    async def scene() -> None:
-        async with proxy_harness(tmp_path) as made:
-            asking = socket.socket()
-            asking.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-            asking.connect((HOST, 8100))
-            asking.sendall(request_bytes("a1"))
-            box = await accept(made.server_listener)
-            await receive_message(box)
-            (front,) = made.proxy.listener.connections
-            front.transport.transport.set_write_buffer_limits(0)
-            raw = front.transport.transport.get_extra_info("socket")
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
-            box.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-            await wait_until(lambda: front.transport.unsent_bytes)
+    async def scenario() -> None:
+        async with proxy_harness(tmp_path) as harness:
+            client_socket = socket.socket()
+            client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+            client_socket.connect((HOST, 8100))
+            client_socket.sendall(request_bytes("a1"))
+            server_connection = await accept(harness.server_listener)
+            await receive_message(server_connection)
+            (connection,) = harness.proxy.listener.connections
+            connection.transport.transport.set_write_buffer_limits(0)
+            proxy_socket = connection.transport.transport.get_extra_info("socket")
+            proxy_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
+            server_connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+            await wait_until(lambda: connection.transport.unsent_bytes)
 
-            async def reads() -> None:
-                assert (await receive_until_eof(asking)).endswith(body)
-                asking.close()
+            async def read_response() -> None:
+                assert (await receive_until_eof(client_socket)).endswith(body)
+                client_socket.close()
 
-            await stop(made, reads)
+            await stop_listener(harness, read_response)
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 # As a process
 
 
-def processed(
-    folder: Path, scene: Callable[[World, ProxyProcess], Awaitable[None]], delay: float = 0.0
+def run_with_process(
+    folder: Path, scenario: Callable[[World, ProxyProcess], Awaitable[None]], delay: float = 0.0
 ) -> tuple[int, bytes]:
     """A scene round `run`; its exit code and log."""
 
-    async def whole() -> tuple[int, bytes]:
+    async def run_process() -> tuple[int, bytes]:
         world = World()
         await world.serve_platform()
         await world.add_server(8200, server_answering(OK, delay, world.received))
-        known = {"revision": 1, "complete": True, "members": world.members}
-        running = ProxyProcess(folder, configuration(known=known))
-        await running.start()
+        endpoint_page = {"revision": 1, "complete": True, "members": world.members}
+        proxy_process = ProxyProcess(folder, configuration(known=endpoint_page))
+        await proxy_process.start()
         try:
             async with asyncio.timeout(20):
-                await scene(world, running)
+                await scenario(world, proxy_process)
         finally:
-            logged = await running.stop()
+            log = await proxy_process.stop()
             await world.close()
-        return running.process.returncode or 0, logged
+        return proxy_process.process.returncode or 0, log
 
-    code, logged = asyncio.run(whole())
-    assert b"Traceback" not in logged, logged.decode()
-    return code, logged
+    exit_code, log = asyncio.run(run_process())
+    assert b"Traceback" not in log, log.decode()
+    return exit_code, log
 
 
-@pytest.mark.parametrize("more", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
-def test_more_signals_during_a_shutdown_change_nothing(tmp_path: Path, more: signal.Signals) -> None:
+@pytest.mark.parametrize("extra_signal", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
+def test_further_signals_during_shutdown_are_ignored(tmp_path: Path, extra_signal: signal.Signals) -> None:
     """One right behind the first and many until the process is gone: it ends with 0, the req is answered."""
 
-    async def scene(world: World, running: ProxyProcess) -> None:
-        flying = asyncio.create_task(running.request(request_bytes("a1")))
+    async def scenario(world: World, proxy_process: ProxyProcess) -> None:
+        pending_response = asyncio.create_task(proxy_process.request(request_bytes("a1")))
         async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
             while not world.received:
                 await asyncio.sleep(0.001)
-        running.process.terminate()
-        while running.process.returncode is None:
+        proxy_process.process.terminate()
+        while proxy_process.process.returncode is None:
             try:
-                os.kill(running.process.pid, more)  # `send_signal` would reap it
+                os.kill(proxy_process.process.pid, extra_signal)  # `send_signal` would reap it
             except ProcessLookupError:
                 pass
             await asyncio.sleep(0.001)
-        assert (await flying).endswith(b"\r\n\r\nok")
+        assert (await pending_response).endswith(b"\r\n\r\nok")
 
-    code, logged = processed(tmp_path, scene, delay=0.2)
-    assert code == 0 and logged.count(b'"shutdown_complete"') == 1
+    exit_code, log = run_with_process(tmp_path, scenario, delay=0.2)
+    assert exit_code == 0 and log.count(b'"shutdown_complete"') == 1
 
 
-@pytest.mark.parametrize("after", [b"", b"listening"])
-def test_a_signal_during_the_start_waits_until_it_can_be_heard(tmp_path: Path, after: bytes) -> None:
+@pytest.mark.parametrize("awaited_log", [b"", b"listening"])
+def test_sigterm_during_startup_is_deferred_and_exits_cleanly(tmp_path: Path, awaited_log: bytes) -> None:
     """SIGTERM from the program's first line on: the process ends by itself and with 0."""
-    told = configuration()
+    config = configuration()
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(config))
 
-    async def whole() -> tuple[int | None, bytes]:
+    async def run_process() -> tuple[int | None, bytes]:
         environment = {**os.environ, "PROXY_CONFIG": str(path)}
         process = await asyncio.create_subprocess_exec(
             "/bin/sh", "-c", RUN, env=environment, stderr=asyncio.subprocess.PIPE
@@ -287,56 +303,64 @@
         assert process.stderr is not None
         try:
             async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
-                if after:
-                    while after not in await process.stderr.readline():
+                if awaited_log:
+                    while awaited_log not in await process.stderr.readline():
                         assert not process.stderr.at_eof()
                 else:
-                    while not holds_back(process.pid, signal.SIGTERM):
+                    while not is_signal_blocked(process.pid, signal.SIGTERM):
                         await asyncio.sleep(0.001)
                 process.terminate()
-                _, logged = await process.communicate()
+                _, log = await process.communicate()
         finally:
             if process.returncode is None:
                 process.kill()
-        return process.returncode, logged
+        return process.returncode, log
 
-    code, logged = asyncio.run(whole())
-    assert code == 0 and b"Traceback" not in logged, logged
+    exit_code, log = asyncio.run(run_process())
+    assert exit_code == 0 and b"Traceback" not in log, log
 
 
-def holds_back(pid: int, number: signal.Signals) -> bool:
+def is_signal_blocked(pid: int, signal_number: signal.Signals) -> bool:
     status = Path(f"/proc/{pid}/status").read_text()
     blocked = next(line for line in status.splitlines() if line.startswith("SigBlk:")).split()[1]
-    return bool(int(blocked, 16) >> (number - 1) & 1)
+    return bool(int(blocked, 16) >> (signal_number - 1) & 1)
 
 
-def test_an_address_that_is_taken_ends_the_start_in_one_line(tmp_path: Path) -> None:
-    async def whole() -> tuple[int | None, bytes]:
-        taken = socket.create_server((HOST, 8100))
-        running = ProxyProcess(tmp_path, configuration())
-        with taken, pytest.raises(AssertionError, match="ready"):
-            await running.start()
-        _, logged = await running.process.communicate()
-        return running.process.returncode, logged
+def test_address_in_use_ends_startup_with_one_log_line(tmp_path: Path) -> None:
+    async def run_process() -> tuple[int | None, bytes]:
+        occupied_socket = socket.create_server((HOST, 8100))
+        proxy_process = ProxyProcess(tmp_path, configuration())
+        with occupied_socket, pytest.raises(AssertionError, match="ready"):
+            await proxy_process.start()
+        _, log = await proxy_process.process.communicate()
+        return proxy_process.process.returncode, log
 
-    code, logged = asyncio.run(whole())
-    last = logged.splitlines()[-1]
-    assert code == 1 and b"Traceback" not in logged and last.startswith(b"gullmount: ") and b"8100" in last
+    exit_code, log = asyncio.run(run_process())
+    last_line = log.splitlines()[-1]
+    assert (
+        exit_code == 1
+        and b"Traceback" not in log
+        and last_line.startswith(b"gullmount: ")
+        and b"8100" in last_line
+    )
 
 
-def test_a_restarted_umpire_serves_while_the_old_ones_connections_end(tmp_path: Path) -> None:
+def test_restarted_proxy_serves_while_old_connections_close(tmp_path: Path) -> None:
     """On the same address; the old process leaves a client that never reads and one it answers late."""
 
-    async def scene(world: World, running: ProxyProcess) -> None:
-        old, flying = running.process, asyncio.create_task(running.request(request_bytes("a1")))
-        reader, writer = await running.connect()
+    async def scenario(world: World, proxy_process: ProxyProcess) -> None:
+        old_process, pending_response = (
+            proxy_process.process,
+            asyncio.create_task(proxy_process.request(request_bytes("a1"))),
+        )
+        reader, writer = await proxy_process.connect()
         writer.write(request_bytes("a2"))
         assert (await read_message(reader))[0].startswith(b"HTTP/1.1 200")
-        running.process.terminate()
-        assert await old.wait() == 0
-        assert (await flying).endswith(b"\r\n\r\nok") and await reader.read() == b""
-        await running.start()
-        assert (await running.request(request_bytes("a3"))).endswith(b"\r\n\r\nok")
-
-    code, _ = processed(tmp_path, scene, delay=0.2)
-    assert code == 0
+        proxy_process.process.terminate()
+        assert await old_process.wait() == 0
+        assert (await pending_response).endswith(b"\r\n\r\nok") and await reader.read() == b""
+        await proxy_process.start()
+        assert (await proxy_process.request(request_bytes("a3"))).endswith(b"\r\n\r\nok")
+
+    exit_code, _ = run_with_process(tmp_path, scenario, delay=0.2)
+    assert exit_code == 0
--- a/tests/proxy/test_streaming.py
+++ b/tests/proxy/test_streaming.py
@@ -12,13 +12,13 @@
 from gullmount.proxy.outcomes import AttemptEnd, attempt_outcome
 from tests.support.proxy_edge import FULL, OK, BoxScript, Edge, edge, play, refused, terms
 
-both = pytest.mark.parametrize("virtual", [True, False], ids=["memory", "sockets"])
-PAY = b"POST /pay HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\nx-patience-ms: 600\r\n\r\nabc"
-LOOK = b"GET /look HTTP/1.1\r\nhost: x\r\nx-patience-ms: 600\r\n\r\n"
-FLOW = b"GET /flow HTTP/1.1\r\nhost: x\r\nx-patience-ms: 600\r\n\r\n"
+on_both_networks = pytest.mark.parametrize("virtual", [True, False], ids=["memory", "sockets"])
+PAY_REQUEST = b"POST /pay HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\nx-patience-ms: 600\r\n\r\nabc"
+LOOK_REQUEST = b"GET /look HTTP/1.1\r\nhost: x\r\nx-patience-ms: 600\r\n\r\n"
+STREAMED_REQUEST = b"GET /flow HTTP/1.1\r\nhost: x\r\nx-patience-ms: 600\r\n\r\n"
 
 
-def says(*parts: bytes, then: str = "stay", pause: float = 0.0) -> BoxScript:
+def respond_with(*parts: bytes, then: str = "stay", pause: float = 0.0) -> BoxScript:
     async def script(stream: Stream) -> None:
         while True:
             await stream.receive()
@@ -34,89 +34,111 @@
     return script
 
 
-async def hangs(stream: Stream) -> None:
+async def never_responds(stream: Stream) -> None:
     await stream.receive()
     await anyio.sleep(30)
 
 
-async def closes_at_once(stream: Stream) -> None:
+async def closes_after_first_bytes(stream: Stream) -> None:
     """Accepts, and closes as soon as a byte came."""
     await stream.receive()
 
 
-def asked(virtual: bool, scripts: dict[str, BoxScript], data: bytes, **changes: Any) -> tuple[bytes, Edge]:
-    kept: list[Any] = []
+def send_request(
+    virtual: bool, scripts: dict[str, BoxScript], data: bytes, **changes: Any
+) -> tuple[bytes, Edge]:
+    results: list[Any] = []
 
-    async def scene(net: Net) -> None:
-        async with edge(net, scripts, **changes) as made:
-            kept.extend([await made.ask(data, 1.5), made])
+    async def scenario(net: Net) -> None:
+        async with edge(net, scripts, **changes) as harness:
+            results.extend([await harness.ask(data, 1.5), harness])
 
-    play(virtual, scene)
-    return kept[0], kept[1]
+    play(virtual, scenario)
+    return results[0], results[1]
 
 
-CHUNKED = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n"
-ROWS: list[tuple[str, BoxScript, str, bytes]] = [
+TRUNCATED_CHUNKED_RESPONSE = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n"
+OUTCOME_CASES: list[tuple[str, BoxScript, str, bytes]] = [
     ("nobody listens", refused, "connect_failed", b"503"),
-    ("no answer", hangs, "timeout", b"504"),
-    ("closed before the head", closes_at_once, "reset", b"502"),
-    ("reset before the head", says(then="reset"), "reset", b"502"),
-    ("closed in the head", says(b"HTTP/1.1 200 OK\r\ncont", then="close"), "reset", b"502"),
+    ("no answer", never_responds, "timeout", b"504"),
+    ("closed before the head", closes_after_first_bytes, "reset", b"502"),
+    ("reset before the head", respond_with(then="reset"), "reset", b"502"),
+    ("closed in the head", respond_with(b"HTTP/1.1 200 OK\r\ncont", then="close"), "reset", b"502"),
     (
         "closed in a told body",
-        says(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nabc", then="close"),
+        respond_with(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nabc", then="close"),
         "reset",
         b"502",
     ),
-    ("reset in a chunked body", says(CHUNKED, then="reset", pause=0.05), "reset", b"502"),
-    ("closed in a chunked body", says(CHUNKED, then="close"), "reset", b"502"),
-    ("no HTTP", says(b"SSH-2.0-box\r\n\r\n"), "error", b"502"),
+    (
+        "reset in a chunked body",
+        respond_with(TRUNCATED_CHUNKED_RESPONSE, then="reset", pause=0.05),
+        "reset",
+        b"502",
+    ),
+    ("closed in a chunked body", respond_with(TRUNCATED_CHUNKED_RESPONSE, then="close"), "reset", b"502"),
+    ("no HTTP", respond_with(b"SSH-2.0-box\r\n\r\n"), "error", b"502"),
     (
         "two lengths",
-        says(b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nab"),
+        respond_with(b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nab"),
         "error",
         b"502",
     ),
-    ("another protocol", says(b"HTTP/1.1 101 Ok\r\nupgrade: x\r\n\r\n"), "error", b"502"),
-    ("endless head", says(b"HTTP/1.1 200 OK\r\nx: " + b"y" * 80000), "error", b"502"),
-    ("not begun", says(FULL), "full", b"503"),
-    ("503 without the mark", says(FULL.replace(b"x-not-begun", b"x-other")), "error", b"503"),
-    ("failed", says(b"HTTP/1.1 500 No\r\ncontent-length: 4\r\n\r\noops"), "error", b"500"),
-    ("404 is an answer", says(b"HTTP/1.1 404 No\r\ncontent-length: 0\r\n\r\n"), "completed", b"404"),
-    ("answered", says(OK), "completed", b"200"),
-    ("answered after a hint", says(b"HTTP/1.1 103 Hint\r\nlink: x\r\n\r\n" + OK), "completed", b"200"),
-    ("answered until the end", says(b"HTTP/1.0 200 OK\r\n\r\nall", then="close"), "completed", b"200"),
+    ("another protocol", respond_with(b"HTTP/1.1 101 Ok\r\nupgrade: x\r\n\r\n"), "error", b"502"),
+    ("endless head", respond_with(b"HTTP/1.1 200 OK\r\nx: " + b"y" * 80000), "error", b"502"),
+    ("not begun", respond_with(FULL), "full", b"503"),
+    ("503 without the mark", respond_with(FULL.replace(b"x-not-begun", b"x-other")), "error", b"503"),
+    ("failed", respond_with(b"HTTP/1.1 500 No\r\ncontent-length: 4\r\n\r\noops"), "error", b"500"),
+    ("404 is an answer", respond_with(b"HTTP/1.1 404 No\r\ncontent-length: 0\r\n\r\n"), "completed", b"404"),
+    ("answered", respond_with(OK), "completed", b"200"),
+    (
+        "answered after a hint",
+        respond_with(b"HTTP/1.1 103 Hint\r\nlink: x\r\n\r\n" + OK),
+        "completed",
+        b"200",
+    ),
+    (
+        "answered until the end",
+        respond_with(b"HTTP/1.0 200 OK\r\n\r\nall", then="close"),
+        "completed",
+        b"200",
+    ),
 ]
 
 
-@both
+@on_both_networks
 @pytest.mark.parametrize(
-    ("script", "outcome", "status"), [row[1:] for row in ROWS], ids=[row[0] for row in ROWS]
+    ("script", "outcome", "status"),
+    [case[1:] for case in OUTCOME_CASES],
+    ids=[case[0] for case in OUTCOME_CASES],
 )
-def test_outcome_of_each_end(virtual: bool, script: BoxScript, outcome: str, status: bytes) -> None:
-    got, made = asked(virtual, {"9001": script}, PAY)
-    assert set(made.outcomes) == {outcome}
-    assert len(made.outcomes) == 1 or outcome in ("full", "connect_failed")
-    assert got.startswith(b"HTTP/1.1 " + status)
-    assert got.count(b"HTTP/1.1 ") == 1
-    word = (
+def test_each_attempt_end_has_its_outcome_and_client_response(
+    virtual: bool, script: BoxScript, outcome: str, status: bytes
+) -> None:
+    response, harness = send_request(virtual, {"9001": script}, PAY_REQUEST)
+    assert set(harness.outcomes) == {outcome}
+    assert len(harness.outcomes) == 1 or outcome in ("full", "connect_failed")
+    assert response.startswith(b"HTTP/1.1 " + status)
+    assert response.count(b"HTTP/1.1 ") == 1
+    disposition = (
         b"completed"
         if outcome == "completed"
         else b"shed"
         if outcome in ("full", "connect_failed")
         else b"errored"
     )
-    assert b"gullmount-answer: " + word in got
+    assert b"gullmount-answer: " + disposition in response
 
 
-def test_only_facts_prove_that_a_try_did_not_run() -> None:
-    proofs = {Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.EXPIRED}
-    unrun = {
-        ending
-        for ending in AttemptEnd
-        if ending is not AttemptEnd.RESPONSE_COMPLETE and attempt_outcome(ending) in proofs
+def test_only_definite_ends_prove_that_attempt_did_not_run() -> None:
+    proving_outcomes = {Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.EXPIRED}
+    proven_not_run = {
+        attempt_end
+        for attempt_end in AttemptEnd
+        if attempt_end is not AttemptEnd.RESPONSE_COMPLETE
+        and attempt_outcome(attempt_end) in proving_outcomes
     }
-    assert unrun == {
+    assert proven_not_run == {
         AttemptEnd.CONNECT_REFUSED,
         AttemptEnd.CONNECT_TIMEOUT,
         AttemptEnd.DEADLINE_WHILE_CONNECTING,
@@ -128,141 +150,158 @@
     assert attempt_outcome(AttemptEnd.RESPONSE_COMPLETE, 500, not_begun=True) is Outcome.ERROR
 
 
-@both
-def test_retriable_goes_to_another_box_and_non_retriable_does_not(virtual: bool) -> None:
-    async def scene(net: Net) -> None:
+@on_both_networks
+def test_only_retriable_request_is_retried_on_another_server(virtual: bool) -> None:
+    async def scenario(net: Net) -> None:
         calls = []
 
-        async def first_breaks(stream: Stream) -> None:
+        async def fails_first_request(stream: Stream) -> None:
             await stream.receive()
             calls.append(1)
             if len(calls) > 1:
                 await stream.send(OK)
 
-        async with edge(net, {"9001": first_breaks, "9002": first_breaks}) as made:
-            assert b" 200 " in await made.ask(LOOK, 1.0)
-            assert made.outcomes == ["reset", "completed"]
+        async with edge(net, {"9001": fails_first_request, "9002": fails_first_request}) as harness:
+            assert b" 200 " in await harness.ask(LOOK_REQUEST, 1.0)
+            assert harness.outcomes == ["reset", "completed"]
             calls.clear()
-            assert b" 502 " in await made.ask(PAY, 1.0)
+            assert b" 502 " in await harness.ask(PAY_REQUEST, 1.0)
             assert len(calls) == 1
 
-    play(virtual, scene)
+    play(virtual, scenario)
 
 
-@both
-def test_deduped_req_without_its_mark_goes_out_once(virtual: bool) -> None:
-    mark = b"GET /mark HTTP/1.1\r\nhost: x\r\n%s\r\n"
-    for header, again in ((b"", False), (b"x-mark: m1\r\n", True)):
-        _, made = asked(virtual, {"9001": closes_at_once, "9002": closes_at_once}, mark % header)
-        assert (len(made.outcomes) > 1) is again
+@on_both_networks
+def test_deduplicated_request_without_its_header_is_sent_once(virtual: bool) -> None:
+    request_head = b"GET /mark HTTP/1.1\r\nhost: x\r\n%s\r\n"
+    for header, is_retried in ((b"", False), (b"x-mark: m1\r\n", True)):
+        _, harness = send_request(
+            virtual,
+            {"9001": closes_after_first_bytes, "9002": closes_after_first_bytes},
+            request_head % header,
+        )
+        assert (len(harness.outcomes) > 1) is is_retried
 
 
-@both
-def test_kept_connection_is_used_again_and_a_closed_one_is_not(virtual: bool) -> None:
-    async def scene(net: Net) -> None:
+@on_both_networks
+def test_open_server_connection_is_reused_and_closed_one_is_not(virtual: bool) -> None:
+    async def scenario(net: Net) -> None:
         connections = []
 
-        async def one_more(stream: Stream) -> None:
+        async def closes_after_two_requests(stream: Stream) -> None:
             connections.append(stream)
             for _ in range(2):
                 await stream.receive()
                 await stream.send(OK)
 
-        async with edge(net, {"9001": one_more}) as made:
+        async with edge(net, {"9001": closes_after_two_requests}) as harness:
             for _ in range(4):
-                assert b" 200 " in await made.ask(PAY, 0.3)
+                assert b" 200 " in await harness.ask(PAY_REQUEST, 0.3)
             assert len(connections) == 2
-            assert made.outcomes == ["completed"] * 4
+            assert harness.outcomes == ["completed"] * 4
 
-    play(virtual, scene)
+    play(virtual, scenario)
 
 
-def test_answer_in_the_same_turn_as_the_time_out_counts_once() -> None:
-    async def scene(net: Net) -> None:
-        async def on_the_dot(stream: Stream) -> None:
+def test_response_arriving_at_timeout_counts_once() -> None:
+    async def scenario(net: Net) -> None:
+        async def responds_at_timeout(stream: Stream) -> None:
             await stream.receive()
             await anyio.sleep(0.6 - 0.005)
             await stream.send(OK)
 
-        async with edge(net, {"9001": on_the_dot}) as made:
-            got = await made.ask(PAY, 1.0)
-            assert got.count(b"HTTP/1.1 ") == 1
-            assert made.outcomes in (["completed"], ["timeout"])
+        async with edge(net, {"9001": responds_at_timeout}) as harness:
+            response = await harness.ask(PAY_REQUEST, 1.0)
+            assert response.count(b"HTTP/1.1 ") == 1
+            assert harness.outcomes in (["completed"], ["timeout"])
 
-    play(True, scene)
+    play(True, scenario)
 
 
-@both
-def test_client_that_leaves_is_owed_nothing_and_its_try_is_called_off(virtual: bool) -> None:
-    async def scene(net: Net) -> None:
-        async with edge(net, {"9001": hangs}) as made:
-            stream = await made.client()
-            await stream.send(PAY)
+@on_both_networks
+def test_client_disconnect_cancels_its_attempt(virtual: bool) -> None:
+    async def scenario(net: Net) -> None:
+        async with edge(net, {"9001": never_responds}) as harness:
+            stream = await harness.client()
+            await stream.send(PAY_REQUEST)
             await anyio.sleep(0.1)
             await abort(stream)
             await anyio.sleep(0.1)
-            assert made.outcomes == ["cancelled"]
-            assert not made.umpire.runtime.exchanges
+            assert harness.outcomes == ["cancelled"]
+            assert not harness.umpire.runtime.exchanges
 
-    play(virtual, scene)
+    play(virtual, scenario)
 
 
-@both
-def test_client_that_leaves_in_its_body_takes_nothing_along(virtual: bool) -> None:
-    async def scene(net: Net) -> None:
-        async with edge(net, {"9001": says(OK)}) as made:
-            stream = await made.client()
-            await stream.send(PAY[:-1])
+@on_both_networks
+def test_client_disconnect_in_request_body_sends_nothing_to_servers(virtual: bool) -> None:
+    async def scenario(net: Net) -> None:
+        async with edge(net, {"9001": respond_with(OK)}) as harness:
+            stream = await harness.client()
+            await stream.send(PAY_REQUEST[:-1])
             await anyio.sleep(0.05)
             await abort(stream)
             await anyio.sleep(0.05)
-            assert not made.outcomes and not made.seen
-            assert b" 200 " in await made.ask(PAY, 0.3)
+            assert not harness.outcomes and not harness.seen
+            assert b" 200 " in await harness.ask(PAY_REQUEST, 0.3)
 
-    play(virtual, scene)
+    play(virtual, scenario)
 
 
-@both
+@on_both_networks
 def test_long_body_is_streamed_and_sent_once(virtual: bool) -> None:
     body = b"z" * 5000
     head = b"POST /look HTTP/1.1\r\nhost: x\r\ncontent-length: 5000\r\n\r\n"
 
-    async def reads_all(stream: Stream) -> None:
-        got = b""
-        while len(got) < len(body):
-            got += await stream.receive()
+    async def reads_whole_body(stream: Stream) -> None:
+        received = b""
+        while len(received) < len(body):
+            received += await stream.receive()
         await stream.send(OK)
 
     clients = {"body_kept": 100}
-    got, made = asked(virtual, {"9001": reads_all, "9002": reads_all}, head + body, clients=clients)
-    assert b" 200 " in got and made.outcomes == ["completed"]
-    assert b"".join(data for _, data in made.seen).endswith(body)
-    got, made = asked(virtual, {"9001": closes_at_once, "9002": closes_at_once}, head + body, clients=clients)
-    assert b" 502 " in got and made.outcomes == ["reset"]
+    response, harness = send_request(
+        virtual, {"9001": reads_whole_body, "9002": reads_whole_body}, head + body, clients=clients
+    )
+    assert b" 200 " in response and harness.outcomes == ["completed"]
+    assert b"".join(data for _, data in harness.seen).endswith(body)
+    response, harness = send_request(
+        virtual,
+        {"9001": closes_after_first_bytes, "9002": closes_after_first_bytes},
+        head + body,
+        clients=clients,
+    )
+    assert b" 502 " in response and harness.outcomes == ["reset"]
 
 
-@both
-def test_begun_answer_that_breaks_off_ends_the_connection(virtual: bool) -> None:
+@on_both_networks
+def test_truncated_streamed_response_closes_client_connection(virtual: bool) -> None:
     part = b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n" + b"p" * 50
-    got, made = asked(virtual, {"9001": says(part, then="close"), "9002": says(part, then="close")}, FLOW)
-    assert got.count(b"HTTP/1.1 ") == 1 and got.endswith(b"p" * 50)
-    assert made.outcomes == ["reset"]
+    response, harness = send_request(
+        virtual,
+        {"9001": respond_with(part, then="close"), "9002": respond_with(part, then="close")},
+        STREAMED_REQUEST,
+    )
+    assert response.count(b"HTTP/1.1 ") == 1 and response.endswith(b"p" * 50)
+    assert harness.outcomes == ["reset"]
 
 
-@both
-def test_begun_answer_may_take_longer_than_the_patience(virtual: bool) -> None:
+@on_both_networks
+def test_started_response_may_outlast_request_timeout(virtual: bool) -> None:
     head, part = b"HTTP/1.1 200 OK\r\ncontent-length: 8\r\n\r\n", b"abcd"
-    got, made = asked(virtual, {"9001": says(head, part, part, pause=0.5)}, FLOW)
-    assert got.endswith(b"abcdabcd")
-    assert made.outcomes == ["completed"]
+    response, harness = send_request(
+        virtual, {"9001": respond_with(head, part, part, pause=0.5)}, STREAMED_REQUEST
+    )
+    assert response.endswith(b"abcdabcd")
+    assert harness.outcomes == ["completed"]
 
 
-@both
+@on_both_networks
 @pytest.mark.parametrize(
     ("data", "status"),
     [
         (b"GET /look HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\ncontent-length: 1\r\n\r\na", b"400"),
-        (LOOK.replace(b"x-pat", b"content-length: 1\r\ntransfer-encoding: chunked\r\nx-pat"), b"400"),
+        (LOOK_REQUEST.replace(b"x-pat", b"content-length: 1\r\ntransfer-encoding: chunked\r\nx-pat"), b"400"),
         (b"GET /look HTTP/1.1\r\nhost: x\r\nhost: y\r\n\r\n", b"400"),
         (b"nonsense\r\n\r\n", b"400"),
         (b"GET /look HTTP/1.1\r\nx: " + b"y" * 40000, b"431"),
@@ -272,135 +311,141 @@
         (b"POST /look HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nab", b"408"),
     ],
 )
-def test_unfit_req_gets_one_clear_error_and_no_box_sees_it(virtual: bool, data: bytes, status: bytes) -> None:
-    got, made = asked(virtual, {"9001": says(OK)}, data, clients={"read_within": 0.3})
-    assert got.startswith(b"HTTP/1.1 " + status) and got.count(b"HTTP/1.1 ") == 1
-    assert not made.seen
+def test_invalid_request_gets_one_error_and_reaches_no_server(
+    virtual: bool, data: bytes, status: bytes
+) -> None:
+    response, harness = send_request(virtual, {"9001": respond_with(OK)}, data, clients={"read_within": 0.3})
+    assert response.startswith(b"HTTP/1.1 " + status) and response.count(b"HTTP/1.1 ") == 1
+    assert not harness.seen
 
 
-@both
-def test_what_is_for_one_hop_does_not_pass(virtual: bool) -> None:
-    req = (
+@on_both_networks
+def test_hop_by_hop_headers_are_not_forwarded(virtual: bool) -> None:
+    request = (
         b"GET /look HTTP/1.1\r\nhost: x\r\nconnection: x-mine\r\nx-mine: 1\r\n"
         b"keep-alive: 5\r\nx-kept: 2\r\nproxy-authorization: p\r\n\r\n"
     )
-    answer = OK.replace(
+    server_response = OK.replace(
         b"content-length", b"connection: x-its\r\nx-its: 1\r\ngullmount-answer: shed\r\ncontent-length"
     )
-    got, made = asked(virtual, {"9001": says(answer)}, req)
-    sent = made.seen[0][1].lower()
+    response, harness = send_request(virtual, {"9001": respond_with(server_response)}, request)
+    sent = harness.seen[0][1].lower()
     assert b"x-kept: 2" in sent
     assert not any(name in sent for name in (b"x-mine", b"keep-alive", b"proxy-auth"))
-    assert b"x-its" not in got and got.count(b"gullmount-answer") == 1 and b"completed" in got
+    assert b"x-its" not in response and response.count(b"gullmount-answer") == 1 and b"completed" in response
 
 
-@both
-def test_expectation_is_met_before_the_body_comes(virtual: bool) -> None:
-    async def scene(net: Net) -> None:
-        async with edge(net, {"9001": says(OK)}) as made:
-            stream = await made.client()
-            await stream.send(PAY.replace(b"\r\n\r\nabc", b"\r\nexpect: 100-continue\r\n\r\n"))
+@on_both_networks
+def test_100_continue_is_sent_before_request_body_arrives(virtual: bool) -> None:
+    async def scenario(net: Net) -> None:
+        async with edge(net, {"9001": respond_with(OK)}) as harness:
+            stream = await harness.client()
+            await stream.send(PAY_REQUEST.replace(b"\r\n\r\nabc", b"\r\nexpect: 100-continue\r\n\r\n"))
             assert (await stream.receive()).startswith(b"HTTP/1.1 100 ")
             await stream.send(b"abc")
-            assert b" 200 " in await made.rest(stream, 0.5)
-            assert b"expect" not in made.seen[0][1]
+            assert b" 200 " in await harness.rest(stream, 0.5)
+            assert b"expect" not in harness.seen[0][1]
 
-    play(virtual, scene)
+    play(virtual, scenario)
 
 
-@both
-def test_head_has_no_body_but_its_length(virtual: bool) -> None:
-    head = LOOK.replace(b"GET", b"HEAD")
-    got, _ = asked(virtual, {"9001": says(b"HTTP/1.1 200 OK\r\ncontent-length: 7\r\n\r\n")}, head)
-    assert b"content-length: 7" in got and got.endswith(b"\r\n\r\n")
+@on_both_networks
+def test_response_to_head_has_length_and_no_body(virtual: bool) -> None:
+    head = LOOK_REQUEST.replace(b"GET", b"HEAD")
+    response, _ = send_request(
+        virtual, {"9001": respond_with(b"HTTP/1.1 200 OK\r\ncontent-length: 7\r\n\r\n")}, head
+    )
+    assert b"content-length: 7" in response and response.endswith(b"\r\n\r\n")
 
 
-@both
-def test_pipelined_reqs_are_answered_one_after_the_other(virtual: bool) -> None:
-    got, _ = asked(virtual, {"9001": says(OK), "9002": says(OK)}, LOOK * 3)
-    assert got.count(b"HTTP/1.1 200") == 3
+@on_both_networks
+def test_pipelined_requests_are_all_answered(virtual: bool) -> None:
+    response, _ = send_request(
+        virtual, {"9001": respond_with(OK), "9002": respond_with(OK)}, LOOK_REQUEST * 3
+    )
+    assert response.count(b"HTTP/1.1 200") == 3
 
 
-@both
-def test_stop_answers_what_was_taken_and_takes_nothing_more(virtual: bool) -> None:
-    async def scene(net: Net) -> None:
-        async def slow(stream: Stream) -> None:
+@on_both_networks
+def test_stop_answers_accepted_request_and_refuses_new_connection(virtual: bool) -> None:
+    async def scenario(net: Net) -> None:
+        async def responds_slowly(stream: Stream) -> None:
             await stream.receive()
             await anyio.sleep(0.3)
             await stream.send(OK)
 
-        async with edge(net, {"9001": slow}) as made:
-            stream = await made.client()
-            await stream.send(PAY)
+        async with edge(net, {"9001": responds_slowly}) as harness:
+            stream = await harness.client()
+            await stream.send(PAY_REQUEST)
             await anyio.sleep(0.1)
             with anyio.fail_after(1):
-                await made.umpire.stop()
-            got = await made.rest(stream, 0.5)
-            assert b" 200 " in got and b"connection: close" in got
+                await harness.umpire.stop()
+            response = await harness.rest(stream, 0.5)
+            assert b" 200 " in response and b"connection: close" in response
             with pytest.raises(OSError):
-                await made.client()
+                await harness.client()
 
-    play(virtual, scene)
+    play(virtual, scenario)
 
 
-def test_stop_waits_until_the_last_answer_has_left() -> None:
+def test_stop_waits_until_last_response_is_sent() -> None:
     size = 16_000_000  # more than the buffers between two loopback sockets hold; a memory stream has none
-    kept = terms().boxes.model_dump() | {"answer_kept": 2 * size}
+    server_settings = terms().boxes.model_dump() | {"answer_kept": 2 * size}
 
-    async def scene(net: Net) -> None:
-        big = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % size + b"b" * size
-        async with edge(net, {"9001": says(big)}, boxes=kept) as made:
-            stream = await made.client()
-            await stream.send(PAY)
+    async def scenario(net: Net) -> None:
+        large_response = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % size + b"b" * size
+        async with edge(net, {"9001": respond_with(large_response)}, boxes=server_settings) as harness:
+            stream = await harness.client()
+            await stream.send(PAY_REQUEST)
             await anyio.sleep(0.4)
-            assert not made.umpire.runtime.exchanges and made.umpire.connections
+            assert not harness.umpire.runtime.exchanges and harness.umpire.connections
             stopped: list[float] = []
 
             async def stop() -> None:
-                await made.umpire.stop()
+                await harness.umpire.stop()
                 stopped.append(anyio.current_time())
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(stop)
                 await anyio.sleep(0.2)
                 assert not stopped
-                got = await made.rest(stream, 5.0)
-            assert stopped and len(got) > size
+                response = await harness.rest(stream, 5.0)
+            assert stopped and len(response) > size
 
-    play(False, scene)
+    play(False, scenario)
 
 
-@both
-def test_client_that_leaves_in_a_begun_answer_calls_its_try_off(virtual: bool) -> None:
-    async def scene(net: Net) -> None:
-        async def drips(stream: Stream) -> None:
+@on_both_networks
+def test_client_disconnect_during_streamed_response_cancels_attempt(virtual: bool) -> None:
+    async def scenario(net: Net) -> None:
+        async def streams_slowly(stream: Stream) -> None:
             await stream.receive()
             await stream.send(b"HTTP/1.1 200 OK\r\ncontent-length: 100000\r\n\r\n")
             while True:
                 await stream.send(b"d" * 10)
                 await anyio.sleep(0.02)
 
-        async with edge(net, {"9001": drips}) as made:
-            stream = await made.client()
-            await stream.send(FLOW)
+        async with edge(net, {"9001": streams_slowly}) as harness:
+            stream = await harness.client()
+            await stream.send(STREAMED_REQUEST)
             await stream.receive()
             await abort(stream)
             await anyio.sleep(0.3)
-            assert made.outcomes == ["cancelled"]
-            assert not made.umpire.runtime.exchanges and not made.umpire.connections
+            assert harness.outcomes == ["cancelled"]
+            assert not harness.umpire.runtime.exchanges and not harness.umpire.connections
 
-    play(virtual, scene)
+    play(virtual, scenario)
 
 
-@both
-def test_connections_are_bounded(virtual: bool) -> None:
-    async def scene(net: Net) -> None:
-        async with edge(net, {"9001": says(OK)}, clients={"connections": 2}) as made:
-            held = [await made.client() for _ in range(2)]
+@on_both_networks
+def test_connection_beyond_limit_is_refused_until_one_closes(virtual: bool) -> None:
+    async def scenario(net: Net) -> None:
+        async with edge(net, {"9001": respond_with(OK)}, clients={"connections": 2}) as harness:
+            open_streams = [await harness.client() for _ in range(2)]
             await anyio.sleep(0.05)
-            assert await made.ask(LOOK, 0.5) == b""
-            await held[0].aclose()
+            assert await harness.ask(LOOK_REQUEST, 0.5) == b""
+            await open_streams[0].aclose()
             await anyio.sleep(0.05)
-            assert b" 200 " in await made.ask(LOOK, 0.3)
+            assert b" 200 " in await harness.ask(LOOK_REQUEST, 0.3)
 
-    play(virtual, scene)
+    play(virtual, scenario)
--- a/tests/proxy/test_streaming_fuzz.py
+++ b/tests/proxy/test_streaming_fuzz.py
@@ -16,9 +16,9 @@
 from tests.support.paths import ROOT
 from tests.support.proxy_edge import OK, edge, play, terms
 
-quiet = settings(derandomize=True, max_examples=150, deadline=None, database=None)
+reproducible = settings(derandomize=True, max_examples=150, deadline=None, database=None)
 
-lines = st.sampled_from(
+request_lines = st.sampled_from(
     [
         b"GET /look HTTP/1.1\r\n",
         b"POST /pay HTTP/1.1\r\n",
@@ -47,8 +47,8 @@
         b"upgrade: h2c\r\n",
     ]
 )
-bytes_of_clients = st.lists(st.one_of(lines, st.binary(max_size=20)), max_size=14).map(b"".join)
-bytes_of_boxes = st.lists(
+client_bytes = st.lists(st.one_of(request_lines, st.binary(max_size=20)), max_size=14).map(b"".join)
+server_bytes = st.lists(
     st.one_of(
         st.sampled_from(
             [
@@ -73,72 +73,74 @@
 ).map(b"".join)
 
 
-@quiet
-@given(bytes_of_clients)
-def test_client_bytes_end_in_answers_or_a_closed_connection(data: bytes) -> None:
-    async def scene(net: Net) -> None:
-        async def box(stream: Stream) -> None:
+@reproducible
+@given(client_bytes)
+def test_any_client_bytes_end_in_responses_or_closed_connection(data: bytes) -> None:
+    async def scenario(net: Net) -> None:
+        async def run_server(stream: Stream) -> None:
             while True:
                 await stream.receive()
                 await stream.send(OK)
 
-        async with edge(net, {"9001": box}, clients={"read_within": 0.5, "idle": 0.5}) as made:
+        async with edge(net, {"9001": run_server}, clients={"read_within": 0.5, "idle": 0.5}) as harness:
             with anyio.fail_after(20):
-                stream = await made.client()
+                stream = await harness.client()
                 await stream.send(data)
-                got = await made.rest(stream, 15)
+                response = await harness.rest(stream, 15)
             await anyio.sleep(2)
-            assert not got or got.startswith(b"HTTP/1.1 ")
-            assert not made.umpire.runtime.exchanges and not made.umpire.connections
+            assert not response or response.startswith(b"HTTP/1.1 ")
+            assert not harness.umpire.runtime.exchanges and not harness.umpire.connections
 
-    play(True, scene)
+    play(True, scenario)
 
 
-@quiet
-@given(bytes_of_boxes, st.booleans())
-def test_box_bytes_end_in_one_answer(data: bytes, closes: bool) -> None:
-    async def scene(net: Net) -> None:
-        async def box(stream: Stream) -> None:
+@reproducible
+@given(server_bytes, st.booleans())
+def test_any_server_bytes_end_in_one_response(data: bytes, closes: bool) -> None:
+    async def scenario(net: Net) -> None:
+        async def run_server(stream: Stream) -> None:
             await stream.receive()
             await stream.send(data)
             if not closes:
                 await anyio.sleep(30)
 
-        async with edge(net, {"9001": box}) as made:
+        async with edge(net, {"9001": run_server}) as harness:
             with anyio.fail_after(20):
-                got = await made.ask(b"POST /pay HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\n\r\na", 5)
-            assert got.count(b"gullmount-answer: ") == 1
-            assert len(set(made.outcomes)) == 1
-            assert not made.umpire.runtime.exchanges
+                response = await harness.ask(
+                    b"POST /pay HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\n\r\na", 5
+                )
+            assert response.count(b"gullmount-answer: ") == 1
+            assert len(set(harness.outcomes)) == 1
+            assert not harness.umpire.runtime.exchanges
 
-    play(True, scene)
+    play(True, scenario)
 
 
-@quiet
+@reproducible
 @given(st.text(max_size=200))
-def test_any_text_is_a_file_or_one_clear_fault(text: str) -> None:
+def test_any_text_as_proxy_configuration_raises_invalid_file_error(text: str) -> None:
     with pytest.raises(InvalidFileError, match="any:"):
         parse(text, "any", ProxyConfig)
 
 
-@quiet
+@reproducible
 @given(st.data())
-def test_any_value_in_any_place_is_valid_or_named(data: st.DataObject) -> None:
-    whole = (ROOT / "days" / "bad-saturday.yaml").read_text().splitlines()
-    row = data.draw(st.integers(0, len(whole) - 1))
+def test_any_value_at_any_key_is_valid_or_reported_with_file_name(data: st.DataObject) -> None:
+    scenario_lines = (ROOT / "days" / "bad-saturday.yaml").read_text().splitlines()
+    index = data.draw(st.integers(0, len(scenario_lines) - 1))
     value = data.draw(
         st.sampled_from(["", "-1", "[", "nan", "{a: b}", "x: y: z", "- 1", "!!python/object:os {}", "&a *a"])
     )
-    key = whole[row].split(":")[0]
-    text = "\n".join([*whole[:row], f"{key}: {value}", *whole[row + 1 :]])
+    key = scenario_lines[index].split(":")[0]
+    text = "\n".join([*scenario_lines[:index], f"{key}: {value}", *scenario_lines[index + 1 :]])
     try:
         parse(text, "day.yaml", ScenarioConfig)
-    except InvalidFileError as fault:
-        assert all(line.startswith("day.yaml:") for line in str(fault).splitlines())
+    except InvalidFileError as error:
+        assert all(line.startswith("day.yaml:") for line in str(error).splitlines())
 
 
 @pytest.mark.parametrize(
-    ("change", "line", "words"),
+    ("document", "line", "words"),
     [
         ("number: 0\n", 1, ["Field required"]),
         ("number: 0\nof: none\n", 2, ["of", "integer", "'none'"]),
@@ -152,20 +154,24 @@
         ("a: " + "[" * 200 + "]" * 200, 1, ["nested"]),
     ],
 )
-def test_fault_names_file_line_and_key(change: str, line: int, words: list[str]) -> None:
+def test_invalid_configuration_error_names_file_line_and_key(
+    document: str, line: int, words: list[str]
+) -> None:
     with pytest.raises(InvalidFileError) as caught:
-        parse(change, "u.yaml", ProxyConfig)
-    rows = [row for row in str(caught.value).splitlines() if row.startswith(f"u.yaml:{line}: ")]
-    assert any(all(word in row for word in words) for row in rows), str(caught.value)
+        parse(document, "u.yaml", ProxyConfig)
+    messages = [
+        message for message in str(caught.value).splitlines() if message.startswith(f"u.yaml:{line}: ")
+    ]
+    assert any(all(word in message for word in words) for message in messages), str(caught.value)
 
 
-def test_terms_read_back_alike_and_file_faults_are_named(tmp_path: Path) -> None:
-    file = tmp_path / "u.yaml"
-    file.write_text(terms().model_dump_json())
-    assert read(file, ProxyConfig) == terms()
+def test_configuration_round_trips_and_unreadable_file_is_reported(tmp_path: Path) -> None:
+    path = tmp_path / "u.yaml"
+    path.write_text(terms().model_dump_json())
+    assert read(path, ProxyConfig) == terms()
     for content, words in ((b"\xff\xfe\x00", "UTF-8"), (b"a: 1\n" * 300_000, "larger")):
-        file.write_bytes(content)
+        path.write_bytes(content)
         with pytest.raises(InvalidFileError, match=words):
-            read(file, ProxyConfig)
+            read(path, ProxyConfig)
     with pytest.raises(InvalidFileError, match="No such file"):
         read(tmp_path / "none.yaml", ProxyConfig)
--- a/tests/support/race_scenes.py
+++ b/tests/support/race_scenes.py
@@ -37,24 +37,24 @@
 PROXY_PORT, DISCOVERY_PORT, SERVER_PORT, OTHER_SERVER_PORT = 8100, 8101, 8200, 8201
 
 
-def request_bytes(mark: str, route: str = "load-item", body: bytes = b"") -> bytes:
-    return platform_request_bytes(mark, route, f"{CLIENT_TIMEOUT_SECONDS * 1000:.0f}", body)
+def request_bytes(request_id: str, route: str = "load-item", body: bytes = b"") -> bytes:
+    return platform_request_bytes(request_id, route, f"{CLIENT_TIMEOUT_SECONDS * 1000:.0f}", body)
 
 
 def listener(port: int) -> socket.socket:
-    made = socket.socket()
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    made.bind((HOST, port))
-    made.listen(64)
-    return made
+    listening_socket = socket.socket()
+    listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listening_socket.bind((HOST, port))
+    listening_socket.listen(64)
+    return listening_socket
 
 
 def client(data: bytes = b"", port: int = PROXY_PORT) -> socket.socket:
     """Connected, and `data` written, before the umpire's loop runs again."""
-    made = socket.create_connection((HOST, port))
+    connected_socket = socket.create_connection((HOST, port))
     if data:
-        made.sendall(data)
-    return made
+        connected_socket.sendall(data)
+    return connected_socket
 
 
 def reset(sock: socket.socket) -> None:
@@ -68,9 +68,9 @@
     return bool(select.select([sock], [], [], 0)[0])
 
 
-async def wait_until(true: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     with anyio.fail_after(WAIT_TIMEOUT_SECONDS):
-        while not true():
+        while not condition():
             await anyio.sleep(0.001)
 
 
@@ -79,27 +79,27 @@
     return sock.accept()[0]
 
 
-async def receive_until(sock: socket.socket, enough: Callable[[bytes], bool]) -> bytes:
+async def receive_until(sock: socket.socket, is_complete: Callable[[bytes], bool]) -> bytes:
     """What comes until it is enough. Raises EOFError at an earlier end, ConnectionError at a reset."""
     data = b""
-    while not enough(data):
+    while not is_complete(data):
         await wait_until(lambda: is_readable(sock))
-        more = sock.recv(65536)
-        if not more:
+        chunk = sock.recv(65536)
+        if not chunk:
             raise EOFError(data)
-        data += more
+        data += chunk
     return data
 
 
 async def receive_message(sock: socket.socket) -> bytes:
     """Head and body; a body has a told length here."""
 
-    def whole(data: bytes) -> bool:
-        head, found, body = data.partition(b"\r\n\r\n")
+    def is_whole_message(data: bytes) -> bool:
+        head, separator, body = data.partition(b"\r\n\r\n")
         _, _, length = head.lower().partition(b"content-length: ")
-        return bool(found) and len(body) >= int(length.split(b"\r\n")[0] or 0)
+        return bool(separator) and len(body) >= int(length.split(b"\r\n")[0] or 0)
 
-    return await receive_until(sock, whole)
+    return await receive_until(sock, is_whole_message)
 
 
 async def receive_until_eof(sock: socket.socket) -> bytes:
@@ -107,10 +107,10 @@
     data = b""
     while True:
         await wait_until(lambda: is_readable(sock))
-        more = sock.recv(65536)
-        if not more:
+        chunk = sock.recv(65536)
+        if not chunk:
             return data
-        data += more
+        data += chunk
 
 
 class HeldConnectNet(TcpNet):
@@ -123,19 +123,19 @@
         self.handover_allowed.set()
         self.connects_started = 0
 
-    async def connect_transport(self, address: str, hearer: TransportProtocol) -> Transport:
+    async def connect_transport(self, address: str, protocol: TransportProtocol) -> Transport:
         self.connects_started += 1
         await self.connects_allowed.wait()
-        conduit = await super().connect_transport(address, hearer)
+        transport = await super().connect_transport(address, protocol)
         await self.handover_allowed.wait()
-        return conduit
+        return transport
 
 
 class ProxyHarness:
     """`box` and `other` listen for the umpire's connections to the boxes `s-1` and `s-2`."""
 
-    def __init__(self, umpire: PlatformInstance, net: HeldConnectNet, log: list[str], path: Path) -> None:
-        self.proxy, self.net, self.log, self.path = umpire, net, log, path
+    def __init__(self, proxy: PlatformInstance, net: HeldConnectNet, log: list[str], path: Path) -> None:
+        self.proxy, self.net, self.log, self.path = proxy, net, log, path
         self.server_listener, self.other_server_listener = listener(SERVER_PORT), listener(OTHER_SERVER_PORT)
 
     @property
@@ -144,8 +144,8 @@
 
     def apply_endpoint_page(self, *members: dict[str, Any], complete: bool = False) -> None:
         """A change of the list has just been read."""
-        told = {"revision": 9, "complete": complete, "members": list(members)}
-        page = msgspec.convert(told, type=EndpointPage)
+        document = {"revision": 9, "complete": complete, "members": list(members)}
+        page = msgspec.convert(document, type=EndpointPage)
         self.proxy.discovery.apply_page(
             page, EndpointUpdateKind.SNAPSHOT if complete else EndpointUpdateKind.UPDATE
         )
@@ -168,51 +168,51 @@
     folder: Path, server_count: int = 1, settings: dict[str, Any] | None = None, **changes: Any
 ) -> AsyncIterator[ProxyHarness]:
     path = folder / "config.json"
-    known = {
+    endpoint_page = {
         "revision": 1,
         "complete": True,
         "members": [member(number + 1) for number in range(server_count)],
     }
     settings = deepcopy(settings or SETTINGS)
-    for grade in settings["Grades"]:
-        grade["DeadlineUs"] = CLIENT_TIMEOUT_SECONDS * 1e6
-    told = configuration(known=known, settings=settings, peer_listen=None, peers=[], **changes)
-    path.write_text(json.dumps(told))
+    for route_settings in settings["Grades"]:
+        route_settings["DeadlineUs"] = CLIENT_TIMEOUT_SECONDS * 1e6
+    config = configuration(known=endpoint_page, settings=settings, peer_listen=None, peers=[], **changes)
+    path.write_text(json.dumps(config))
     net, log = HeldConnectNet(), list[str]()
     async with anyio.create_task_group() as tasks:
-        umpire = PlatformInstance(
+        proxy = PlatformInstance(
             read_configuration({"PROXY_CONFIG": str(path)}),
             net,
             lambda event, **fields: log.append(f"{event} {fields}"),
             first_list_timeout=FIRST_LIST_TIMEOUT_SECONDS,
         )
-        made = ProxyHarness(umpire, net, log, path)
+        harness = ProxyHarness(proxy, net, log, path)
         try:
-            await umpire.serve(tasks)
-            made.runtime.router.endpoints_are_stale = (
+            await proxy.serve(tasks)
+            harness.runtime.router.endpoints_are_stale = (
                 never_stale  # what these scenes cross is not the list's age
             )
-            made.runtime.upstream.limits = replace(
-                made.runtime.upstream.limits, connect_timeout=WAIT_TIMEOUT_SECONDS
+            harness.runtime.upstream.limits = replace(
+                harness.runtime.upstream.limits, connect_timeout=WAIT_TIMEOUT_SECONDS
             )
-            yield made
+            yield harness
         finally:
-            made.server_listener.close()
-            made.other_server_listener.close()
-            umpire.listener.accept_scope.cancel()
+            harness.server_listener.close()
+            harness.other_server_listener.close()
+            proxy.listener.accept_scope.cancel()
             tasks.cancel_scope.cancel()
 
 
-async def assert_serves_request(scene: ProxyHarness, mark: str) -> None:
+async def assert_serves_request(target: ProxyHarness, request_id: str) -> None:
     """A usual client's req, sent and answered."""
-    asking = client(request_bytes(mark))
-    box = await accept(scene.server_listener)
-    await receive_message(box)
-    box.sendall(OK)
-    assert (await receive_message(asking)).endswith(b"\r\n\r\nok")
-    asking.close()
-    box.close()
+    client_socket = client(request_bytes(request_id))
+    server_connection = await accept(target.server_listener)
+    await receive_message(server_connection)
+    server_connection.sendall(OK)
+    assert (await receive_message(client_socket)).endswith(b"\r\n\r\nok")
+    client_socket.close()
+    server_connection.close()
 
 
-def run_scenario(scene: Callable[[], Awaitable[None]]) -> None:
-    anyio.run(scene, backend_options={"use_uvloop": True})
+def run_scenario(scenario: Callable[[], Awaitable[None]]) -> None:
+    anyio.run(scenario, backend_options={"use_uvloop": True})
