--- a/gullmount/proxy/http1.py
+++ b/gullmount/proxy/http1.py
@@ -206,7 +206,7 @@
         self.keep_alive = False
 
     def on_message_begin(self) -> None:
-        """Called when a response begins. A second final response is an error; the first one remains valid."""
+        """Called when a response begins. One after the final response is an error; the final one is valid."""
         if self.finished:
             self.fail(BAD_GATEWAY, "more than one response")
         super().on_message_begin()
--- a/gullmount/proxy/listener.py
+++ b/gullmount/proxy/listener.py
@@ -19,7 +19,7 @@
 
 # Interval at which a shutdown checks whether the last responses have been sent.
 SHUTDOWN_POLL_INTERVAL_SECONDS = 0.01
-# Idle time after which a shutdown closes a connection. A request may be on its way until then.
+# Idle time after which a shutdown closes a connection: a request may still be on its way.
 SHUTDOWN_IDLE_SECONDS = 0.1
 # Connections that are accepted beyond the limit, each for one error response, because their request may
 # already have arrived.
@@ -82,7 +82,7 @@
         await anyio.sleep(accept_seconds)
         self.accept_scope.cancel()
         if self.listening.is_set():
-            # The kernel accepts connections until then, and those are still served.
+            # The kernel accepts connections until the listening socket is closed; they are still served.
             await self.closed.wait()
         self.runtime.refuses_requests = True
         await self.wait_for_unread_requests(read_seconds)
