--- a/tests/proxy/test_buffered_downstream.py
+++ b/tests/proxy/test_buffered_downstream.py
@@ -1,4 +1,4 @@
-"""Clients' connections: closes that cross bytes, clients that leave, floods and slow ones."""
+"""Client connections: closes while bytes arrive, client disconnects, connection floods and slow clients."""
 
 from __future__ import annotations
 
@@ -51,8 +51,10 @@
 def test_response_before_close_arrives_complete_while_client_keeps_sending(
     tmp_path: Path, data: bytes, status: bytes, extra_byte_count: int
 ) -> None:
-    """More bytes come in the turn in which the connection ends: FIN and no RST, which could overtake the
-    answer (RFC 9112, 9.6)."""
+    """Guards against a TCP reset that overtakes the response (RFC 9112, section 9.6).
+
+    More bytes arrive in the loop turn in which the connection closes. The proxy must send FIN, not RST.
+    """
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
@@ -114,7 +116,7 @@
 def test_client_disconnect_at_each_step_leaves_no_state(
     tmp_path: Path, disconnect: Callable[[socket.socket], None], moment: str
 ) -> None:
-    """Nothing is left of it, nothing of it goes out afterwards, and others are served."""
+    """No state of the request remains, no part of it is sent later, and other clients are served."""
     data = request_bytes("a1", AT_MOST_ONCE_ROUTE, body=b"body")
 
     async def scenario() -> None:
@@ -139,7 +141,8 @@
             await wait_until(lambda: not harness.proxy.listener.connections and not harness.runtime.exchanges)
             harness.net.connects_allowed.set()
             if moment == "connecting":
-                server_connection = await accept(harness.server_listener)  # kept for the next req
+                # The connection is kept for the next request.
+                server_connection = await accept(harness.server_listener)
                 await wait_until(lambda: harness.runtime.upstream.pools["s-1"].idle)
                 assert not is_readable(server_connection)
             harness.runtime.upstream.remove_server("s-1")
@@ -150,7 +153,7 @@
 
 
 def test_finished_connections_are_evicted_before_silent_ones(tmp_path: Path) -> None:
-    """A connection that has begun to speak, and one with a req under way, stay."""
+    """Connections with a partly received request or with a request in flight are not evicted."""
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
@@ -187,7 +190,7 @@
 
 @pytest.mark.parametrize("cause", ["idle time", "room", "stop"])
 def test_request_arriving_as_its_idle_connection_closes_is_served(tmp_path: Path, cause: str) -> None:
-    """It lies unheard at the socket in the turn in which the connection would be closed."""
+    """The request is unread at the socket in the loop turn in which the connection would be closed."""
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
@@ -212,7 +215,7 @@
 
 
 def test_client_that_reads_no_responses_is_aborted(tmp_path: Path) -> None:
-    """What waits for it stays bounded, and usual clients are served beside it."""
+    """The unsent responses stay within their limit, and ordinary clients are served meanwhile."""
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
@@ -293,7 +296,7 @@
 
 
 def test_request_on_connection_beyond_limit_gets_503(tmp_path: Path) -> None:
-    """It was written to a connection that this machine accepted: a close without an answer would lose it."""
+    """The machine has accepted the connection, so closing it without a response would lose the request."""
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
--- a/tests/proxy/test_listener_shutdown.py
+++ b/tests/proxy/test_listener_shutdown.py
@@ -1,4 +1,7 @@
-"""Graceful shutdown: what was taken has its answer, each connection ends so that its client can repeat."""
+"""Graceful shutdown of the listener.
+
+Accepted requests get their responses, and every connection closes in a way that lets its client retry.
+"""
 
 from __future__ import annotations
 
@@ -44,8 +47,11 @@
 async def stop_listener(
     target: ProxyHarness, during: Callable[[], Awaitable[None]], read_seconds: float = 2.0
 ) -> None:
-    """Stop as at SIGTERM, but with no time in which clients still come; `during` once the doors are shut.
-    As the stop ends, and the process with it, nobody may be in the middle of a req."""
+    """Stop the listener as on SIGTERM, but accept no further connections.
+
+    `during` runs once requests are refused. When the stop ends, and the process with it, no client may be in
+    the middle of a request.
+    """
 
     async def run_stop() -> None:
         await target.proxy.listener.stop(0.0, read_seconds)
@@ -66,11 +72,11 @@
 
 
 def test_connections_in_accept_queue_get_response_at_shutdown(tmp_path: Path) -> None:
-    """Reqs in the accept queue as the listener closes: more than the loop accepts in one turn."""
+    """The accept queue holds more connections than the event loop accepts in one turn."""
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
-            # Each is rejected at once: only its being accepted counts here.
+            # Every request is rejected at once: the test checks only that it is accepted.
             harness.runtime.router.endpoints.ready_by_build = {}
             client_sockets = [client(request_bytes(f"a{number}")) for number in range(100)]
             harness.proxy.listener.accept_scope.cancel()
@@ -109,7 +115,7 @@
 
 
 def test_incomplete_request_gets_503_before_shutdown_ends(tmp_path: Path) -> None:
-    """503 before SIGKILL, and a clean end: nothing of it has been sent on."""
+    """The client gets 503 and a clean close before SIGKILL, and no part of its request is forwarded."""
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
@@ -149,8 +155,10 @@
 
 
 def test_pipelined_request_during_shutdown_gets_no_partial_response(tmp_path: Path) -> None:
-    """The first says that the connection closes (RFC 9112, 9.6); its answer is read whole, then a clean end,
-    though the second was never read."""
+    """The first response announces that the connection closes (RFC 9112, section 9.6).
+
+    The client receives it completely and then a clean close, although the second request was never read.
+    """
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
@@ -238,13 +246,13 @@
     run_scenario(scenario)
 
 
-# As a process
+# Tests with the proxy in a process of its own.
 
 
 def run_with_process(
     folder: Path, scenario: Callable[[World, ProxyProcess], Awaitable[None]], delay: float = 0.0
 ) -> tuple[int, bytes]:
-    """A scene round `run`; its exit code and log."""
+    """Run the scenario against a proxy process; return its exit code and log."""
 
     async def run_process() -> tuple[int, bytes]:
         world = World()
@@ -268,7 +276,10 @@
 
 @pytest.mark.parametrize("extra_signal", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
 def test_further_signals_during_shutdown_are_ignored(tmp_path: Path, extra_signal: signal.Signals) -> None:
-    """One right behind the first and many until the process is gone: it ends with 0, the req is answered."""
+    """Further signals follow the first one until the process has exited.
+
+    The process exits with 0 and the request in flight is answered.
+    """
 
     async def scenario(world: World, proxy_process: ProxyProcess) -> None:
         pending_response = asyncio.create_task(proxy_process.request(request_bytes("a1")))
@@ -278,7 +289,8 @@
         proxy_process.process.terminate()
         while proxy_process.process.returncode is None:
             try:
-                os.kill(proxy_process.process.pid, extra_signal)  # `send_signal` would reap it
+                # `send_signal` would reap the process.
+                os.kill(proxy_process.process.pid, extra_signal)
             except ProcessLookupError:
                 pass
             await asyncio.sleep(0.001)
@@ -290,7 +302,7 @@
 
 @pytest.mark.parametrize("awaited_log", [b"", b"listening"])
 def test_sigterm_during_startup_is_deferred_and_exits_cleanly(tmp_path: Path, awaited_log: bytes) -> None:
-    """SIGTERM from the program's first line on: the process ends by itself and with 0."""
+    """SIGTERM may arrive from the first line of the program on; the process must exit by itself with 0."""
     config = configuration()
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
@@ -346,7 +358,11 @@
 
 
 def test_restarted_proxy_serves_while_old_connections_close(tmp_path: Path) -> None:
-    """On the same address; the old process leaves a client that never reads and one it answers late."""
+    """The new process listens on the same address as the old one.
+
+    When the old process stops, one client keeps its connection open without reading, and the response to
+    another client is still due.
+    """
 
     async def scenario(world: World, proxy_process: ProxyProcess) -> None:
         old_process, pending_response = (
--- a/tests/proxy/test_streaming.py
+++ b/tests/proxy/test_streaming.py
@@ -1,4 +1,7 @@
-"""Every row of the outcome table from real bytes, and what the client gets; in memory and on sockets."""
+"""Attempt outcomes and client responses of the streaming proxy, produced from real bytes.
+
+Most tests run both on the memory network and on sockets.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +43,7 @@
 
 
 async def closes_after_first_bytes(stream: Stream) -> None:
-    """Accepts, and closes as soon as a byte came."""
+    """Close the connection as soon as a byte arrives."""
     await stream.receive()
 
 
@@ -389,7 +392,8 @@
 
 
 def test_stop_waits_until_last_response_is_sent() -> None:
-    size = 16_000_000  # more than the buffers between two loopback sockets hold; a memory stream has none
+    # Larger than the buffers between two loopback sockets; memory streams have no buffers.
+    size = 16_000_000
     server_settings = terms().boxes.model_dump() | {"answer_kept": 2 * size}
 
     async def scenario(net: Net) -> None:
--- a/tests/proxy/test_streaming_fuzz.py
+++ b/tests/proxy/test_streaming_fuzz.py
@@ -1,4 +1,7 @@
-"""Any bytes at the HTTP edge, any text as YAML: one answer, a closed connection or one clear fault."""
+"""Fuzz tests of the proxy's HTTP connections and of the YAML configuration reader.
+
+Any bytes end in responses or a closed connection; any invalid text ends in an error that names the file.
+"""
 
 from __future__ import annotations
 
--- a/tests/support/race_scenes.py
+++ b/tests/support/race_scenes.py
@@ -1,8 +1,8 @@
-"""The platform's umpire on loopback sockets, in the loop of the test itself.
+"""Runs the platform's proxy on loopback sockets in the event loop of the test.
 
-A test writes on plain sockets between two awaits: the umpire's loop then finds all of it in one turn, and
-which of two things comes first is the test's own choice. Nothing here waits by a guessed time; `until` asks
-for what must become true.
+Tests write to plain sockets between two awaits. The proxy's event loop then reads everything in one turn, so
+that the test decides which of two events comes first. Nothing here waits for a guessed time: `wait_until`
+polls a condition.
 """
 
 from __future__ import annotations
@@ -31,9 +31,12 @@
 from tests.support.platform_world import HOST, OK, SETTINGS, configuration, endpoint_entry
 from tests.support.platform_world import request_bytes as platform_request_bytes
 
-FIRST_LIST_TIMEOUT_SECONDS = 0.5  # s for the first list: most scenes here have no discovery that answers
-WAIT_TIMEOUT_SECONDS = 10.0  # s in which what must become true does, also on a busy machine
-CLIENT_TIMEOUT_SECONDS = 60.0  # s of clients and of routes here: no order hangs on how fast the machine is
+# Time to wait for the first endpoint list. Most tests here have no discovery service that responds.
+FIRST_LIST_TIMEOUT_SECONDS = 0.5
+# Time in which an awaited condition must become true, also on a busy machine.
+WAIT_TIMEOUT_SECONDS = 10.0
+# Timeout of clients and routes. It is long so that no order of events depends on the speed of the machine.
+CLIENT_TIMEOUT_SECONDS = 60.0
 PROXY_PORT, DISCOVERY_PORT, SERVER_PORT, OTHER_SERVER_PORT = 8100, 8101, 8200, 8201
 
 
@@ -50,7 +53,7 @@
 
 
 def client(data: bytes = b"", port: int = PROXY_PORT) -> socket.socket:
-    """Connected, and `data` written, before the umpire's loop runs again."""
+    """Connect to the proxy and write `data` before the proxy's event loop runs again."""
     connected_socket = socket.create_connection((HOST, port))
     if data:
         connected_socket.sendall(data)
@@ -58,13 +61,13 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """End with RST, whatever was read."""
+    """Close the socket with a TCP reset (RST), regardless of unread data."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 def is_readable(sock: socket.socket) -> bool:
-    """Whether a connection, bytes or an end wait there."""
+    """Return whether a connection, bytes or the end of the stream wait on the socket."""
     return bool(select.select([sock], [], [], 0)[0])
 
 
@@ -80,7 +83,10 @@
 
 
 async def receive_until(sock: socket.socket, is_complete: Callable[[bytes], bool]) -> bytes:
-    """What comes until it is enough. Raises EOFError at an earlier end, ConnectionError at a reset."""
+    """Receive until `is_complete(data)`.
+
+    Raises EOFError if the stream ends before, and ConnectionError on a reset.
+    """
     data = b""
     while not is_complete(data):
         await wait_until(lambda: is_readable(sock))
@@ -92,7 +98,7 @@
 
 
 async def receive_message(sock: socket.socket) -> bytes:
-    """Head and body; a body has a told length here."""
+    """Receive a head and a body whose length is in Content-Length."""
 
     def is_whole_message(data: bytes) -> bool:
         head, separator, body = data.partition(b"\r\n\r\n")
@@ -103,7 +109,7 @@
 
 
 async def receive_until_eof(sock: socket.socket) -> bytes:
-    """All until the other side's end. Raises ConnectionError at a reset."""
+    """Receive until the peer closes the stream. Raises ConnectionError on a reset."""
     data = b""
     while True:
         await wait_until(lambda: is_readable(sock))
@@ -114,7 +120,13 @@
 
 
 class HeldConnectNet(TcpNet):
-    """Connections to boxes come up, and are handed over, only when the test says so."""
+    """Delays connections to servers until the test allows them.
+
+    Attributes:
+        connects_allowed: until it is set, no connection to a server is opened.
+        handover_allowed: until it is set, open connections are not handed to the proxy.
+        connects_started: number of connections that the proxy has asked for.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -132,7 +144,12 @@
 
 
 class ProxyHarness:
-    """`box` and `other` listen for the umpire's connections to the boxes `s-1` and `s-2`."""
+    """A running proxy and its test doubles.
+
+    Attributes:
+        server_listener: accepts the proxy's connections to the server `s-1`.
+        other_server_listener: accepts the proxy's connections to the server `s-2`.
+    """
 
     def __init__(self, proxy: PlatformInstance, net: HeldConnectNet, log: list[str], path: Path) -> None:
         self.proxy, self.net, self.log, self.path = proxy, net, log, path
@@ -143,7 +160,7 @@
         return self.proxy.runtime
 
     def apply_endpoint_page(self, *members: dict[str, Any], complete: bool = False) -> None:
-        """A change of the list has just been read."""
+        """Apply a page of the endpoint list as if discovery had just sent it."""
         document = {"revision": 9, "complete": complete, "members": list(members)}
         page = msgspec.convert(document, type=EndpointPage)
         self.proxy.discovery.apply_page(
@@ -151,7 +168,7 @@
         )
 
     async def send_request(self, data: bytes) -> bytes:
-        """One req on a connection of its own."""
+        """Send one request on a new connection and return the response."""
         sock = client(data)
         try:
             return await receive_message(sock)
@@ -189,9 +206,8 @@
         harness = ProxyHarness(proxy, net, log, path)
         try:
             await proxy.serve(tasks)
-            harness.runtime.router.endpoints_are_stale = (
-                never_stale  # what these scenes cross is not the list's age
-            )
+            # The age of the endpoint list is not under test here.
+            harness.runtime.router.endpoints_are_stale = never_stale
             harness.runtime.upstream.limits = replace(
                 harness.runtime.upstream.limits, connect_timeout=WAIT_TIMEOUT_SECONDS
             )
@@ -204,7 +220,7 @@
 
 
 async def assert_serves_request(target: ProxyHarness, request_id: str) -> None:
-    """A usual client's req, sent and answered."""
+    """Send an ordinary client's request and check that it is served."""
     client_socket = client(request_bytes(request_id))
     server_connection = await accept(target.server_listener)
     await receive_message(server_connection)
