--- a/gullmount/proxy/http1.py
+++ b/gullmount/proxy/http1.py
@@ -206,7 +206,10 @@
         self.keep_alive = False
 
     def on_message_begin(self) -> None:
-        """Called when a response begins. One after the final response is an error; the final one is valid."""
+        """Called when a response begins.
+
+        A response after the final one is an error. The final one remains valid.
+        """
         if self.finished:
             self.fail(BAD_GATEWAY, "more than one response")
         super().on_message_begin()
