--- a/tests/support/race_scenes.py
+++ b/tests/support/race_scenes.py
@@ -1,8 +1,8 @@
-"""The platform's umpire on loopback sockets, in the loop of the test itself.
+"""Runs the platform's proxy on loopback sockets in the event loop of the test.
 
-A test writes on plain sockets between two awaits: the umpire's loop then finds all of it in one turn, and
-which of two things comes first is the test's own choice. Nothing here waits by a guessed time; `until` asks
-for what must become true.
+Tests write to plain sockets between two awaits. The proxy's event loop then reads everything in one turn, so
+that the test decides which of two events comes first. Nothing here waits for a guessed time: `wait_until`
+polls a condition.
 """
 
 from __future__ import annotations
@@ -31,46 +31,49 @@
 from tests.support.platform_world import HOST, OK, SETTINGS, configuration, endpoint_entry
 from tests.support.platform_world import request_bytes as platform_request_bytes
 
-FIRST_LIST_TIMEOUT_SECONDS = 0.5  # s for the first list: most scenes here have no discovery that answers
-WAIT_TIMEOUT_SECONDS = 10.0  # s in which what must become true does, also on a busy machine
-CLIENT_TIMEOUT_SECONDS = 60.0  # s of clients and of routes here: no order hangs on how fast the machine is
+# Time to wait for the first endpoint list. Most tests here have no discovery service that responds.
+FIRST_LIST_TIMEOUT_SECONDS = 0.5
+# Time in which an awaited condition must become true, also on a busy machine.
+WAIT_TIMEOUT_SECONDS = 10.0
+# Timeout of clients and routes. It is long so that no order of events depends on the speed of the machine.
+CLIENT_TIMEOUT_SECONDS = 60.0
 PROXY_PORT, DISCOVERY_PORT, SERVER_PORT, OTHER_SERVER_PORT = 8100, 8101, 8200, 8201
 
 
-def request_bytes(mark: str, route: str = "load-item", body: bytes = b"") -> bytes:
-    return platform_request_bytes(mark, route, f"{CLIENT_TIMEOUT_SECONDS * 1000:.0f}", body)
+def request_bytes(request_id: str, route: str = "load-item", body: bytes = b"") -> bytes:
+    return platform_request_bytes(request_id, route, f"{CLIENT_TIMEOUT_SECONDS * 1000:.0f}", body)
 
 
 def listener(port: int) -> socket.socket:
-    made = socket.socket()
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    made.bind((HOST, port))
-    made.listen(64)
-    return made
+    listening_socket = socket.socket()
+    listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listening_socket.bind((HOST, port))
+    listening_socket.listen(64)
+    return listening_socket
 
 
 def client(data: bytes = b"", port: int = PROXY_PORT) -> socket.socket:
-    """Connected, and `data` written, before the umpire's loop runs again."""
-    made = socket.create_connection((HOST, port))
+    """Connect to the proxy and write `data` before the proxy's event loop runs again."""
+    connected_socket = socket.create_connection((HOST, port))
     if data:
-        made.sendall(data)
-    return made
+        connected_socket.sendall(data)
+    return connected_socket
 
 
 def reset(sock: socket.socket) -> None:
-    """End with RST, whatever was read."""
+    """Close the socket with a TCP reset (RST), regardless of unread data."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 def is_readable(sock: socket.socket) -> bool:
-    """Whether a connection, bytes or an end wait there."""
+    """Return whether a connection, bytes or the end of the stream wait on the socket."""
     return bool(select.select([sock], [], [], 0)[0])
 
 
-async def wait_until(true: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     with anyio.fail_after(WAIT_TIMEOUT_SECONDS):
-        while not true():
+        while not condition():
             await anyio.sleep(0.001)
 
 
@@ -79,42 +82,51 @@
     return sock.accept()[0]
 
 
-async def receive_until(sock: socket.socket, enough: Callable[[bytes], bool]) -> bytes:
-    """What comes until it is enough. Raises EOFError at an earlier end, ConnectionError at a reset."""
+async def receive_until(sock: socket.socket, is_complete: Callable[[bytes], bool]) -> bytes:
+    """Receive until `is_complete(data)`.
+
+    Raises EOFError if the stream ends before, and ConnectionError on a reset.
+    """
     data = b""
-    while not enough(data):
+    while not is_complete(data):
         await wait_until(lambda: is_readable(sock))
-        more = sock.recv(65536)
-        if not more:
+        chunk = sock.recv(65536)
+        if not chunk:
             raise EOFError(data)
-        data += more
+        data += chunk
     return data
 
 
 async def receive_message(sock: socket.socket) -> bytes:
-    """Head and body; a body has a told length here."""
+    """Receive a head and a body whose length is in Content-Length."""
 
-    def whole(data: bytes) -> bool:
-        head, found, body = data.partition(b"\r\n\r\n")
+    def is_whole_message(data: bytes) -> bool:
+        head, separator, body = data.partition(b"\r\n\r\n")
         _, _, length = head.lower().partition(b"content-length: ")
-        return bool(found) and len(body) >= int(length.split(b"\r\n")[0] or 0)
+        return bool(separator) and len(body) >= int(length.split(b"\r\n")[0] or 0)
 
-    return await receive_until(sock, whole)
+    return await receive_until(sock, is_whole_message)
 
 
 async def receive_until_eof(sock: socket.socket) -> bytes:
-    """All until the other side's end. Raises ConnectionError at a reset."""
+    """Receive until the peer closes the stream. Raises ConnectionError on a reset."""
     data = b""
     while True:
         await wait_until(lambda: is_readable(sock))
-        more = sock.recv(65536)
-        if not more:
+        chunk = sock.recv(65536)
+        if not chunk:
             return data
-        data += more
+        data += chunk
 
 
 class HeldConnectNet(TcpNet):
-    """Connections to boxes come up, and are handed over, only when the test says so."""
+    """Delays connections to servers until the test allows them.
+
+    Attributes:
+        connects_allowed: until it is set, no connection to a server is opened.
+        handover_allowed: until it is set, open connections are not handed to the proxy.
+        connects_started: number of connections that the proxy has asked for.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -123,19 +135,24 @@
         self.handover_allowed.set()
         self.connects_started = 0
 
-    async def connect_transport(self, address: str, hearer: TransportProtocol) -> Transport:
+    async def connect_transport(self, address: str, protocol: TransportProtocol) -> Transport:
         self.connects_started += 1
         await self.connects_allowed.wait()
-        conduit = await super().connect_transport(address, hearer)
+        transport = await super().connect_transport(address, protocol)
         await self.handover_allowed.wait()
-        return conduit
+        return transport
 
 
 class ProxyHarness:
-    """`box` and `other` listen for the umpire's connections to the boxes `s-1` and `s-2`."""
+    """A running proxy and its test doubles.
 
-    def __init__(self, umpire: PlatformInstance, net: HeldConnectNet, log: list[str], path: Path) -> None:
-        self.proxy, self.net, self.log, self.path = umpire, net, log, path
+    Attributes:
+        server_listener: accepts the proxy's connections to the server `s-1`.
+        other_server_listener: accepts the proxy's connections to the server `s-2`.
+    """
+
+    def __init__(self, proxy: PlatformInstance, net: HeldConnectNet, log: list[str], path: Path) -> None:
+        self.proxy, self.net, self.log, self.path = proxy, net, log, path
         self.server_listener, self.other_server_listener = listener(SERVER_PORT), listener(OTHER_SERVER_PORT)
 
     @property
@@ -143,15 +160,15 @@
         return self.proxy.runtime
 
     def apply_endpoint_page(self, *members: dict[str, Any], complete: bool = False) -> None:
-        """A change of the list has just been read."""
-        told = {"revision": 9, "complete": complete, "members": list(members)}
-        page = msgspec.convert(told, type=EndpointPage)
+        """Apply a page of the endpoint list as if discovery had just sent it."""
+        document = {"revision": 9, "complete": complete, "members": list(members)}
+        page = msgspec.convert(document, type=EndpointPage)
         self.proxy.discovery.apply_page(
             page, EndpointUpdateKind.SNAPSHOT if complete else EndpointUpdateKind.UPDATE
         )
 
     async def send_request(self, data: bytes) -> bytes:
-        """One req on a connection of its own."""
+        """Send one request on a new connection and return the response."""
         sock = client(data)
         try:
             return await receive_message(sock)
@@ -168,51 +185,50 @@
     folder: Path, server_count: int = 1, settings: dict[str, Any] | None = None, **changes: Any
 ) -> AsyncIterator[ProxyHarness]:
     path = folder / "config.json"
-    known = {
+    endpoint_page = {
         "revision": 1,
         "complete": True,
         "members": [member(number + 1) for number in range(server_count)],
     }
     settings = deepcopy(settings or SETTINGS)
-    for grade in settings["Grades"]:
-        grade["DeadlineUs"] = CLIENT_TIMEOUT_SECONDS * 1e6
-    told = configuration(known=known, settings=settings, peer_listen=None, peers=[], **changes)
-    path.write_text(json.dumps(told))
+    for route_settings in settings["Grades"]:
+        route_settings["DeadlineUs"] = CLIENT_TIMEOUT_SECONDS * 1e6
+    config = configuration(known=endpoint_page, settings=settings, peer_listen=None, peers=[], **changes)
+    path.write_text(json.dumps(config))
     net, log = HeldConnectNet(), list[str]()
     async with anyio.create_task_group() as tasks:
-        umpire = PlatformInstance(
+        proxy = PlatformInstance(
             read_configuration({"PROXY_CONFIG": str(path)}),
             net,
             lambda event, **fields: log.append(f"{event} {fields}"),
             first_list_timeout=FIRST_LIST_TIMEOUT_SECONDS,
         )
-        made = ProxyHarness(umpire, net, log, path)
+        harness = ProxyHarness(proxy, net, log, path)
         try:
-            await umpire.serve(tasks)
-            made.runtime.router.endpoints_are_stale = (
-                never_stale  # what these scenes cross is not the list's age
-            )
-            made.runtime.upstream.limits = replace(
-                made.runtime.upstream.limits, connect_timeout=WAIT_TIMEOUT_SECONDS
+            await proxy.serve(tasks)
+            # The age of the endpoint list is not under test here.
+            harness.runtime.router.endpoints_are_stale = never_stale
+            harness.runtime.upstream.limits = replace(
+                harness.runtime.upstream.limits, connect_timeout=WAIT_TIMEOUT_SECONDS
             )
-            yield made
+            yield harness
         finally:
-            made.server_listener.close()
-            made.other_server_listener.close()
-            umpire.listener.accept_scope.cancel()
+            harness.server_listener.close()
+            harness.other_server_listener.close()
+            proxy.listener.accept_scope.cancel()
             tasks.cancel_scope.cancel()
 
 
-async def assert_serves_request(scene: ProxyHarness, mark: str) -> None:
-    """A usual client's req, sent and answered."""
-    asking = client(request_bytes(mark))
-    box = await accept(scene.server_listener)
-    await receive_message(box)
-    box.sendall(OK)
-    assert (await receive_message(asking)).endswith(b"\r\n\r\nok")
-    asking.close()
-    box.close()
+async def assert_serves_request(target: ProxyHarness, request_id: str) -> None:
+    """Send an ordinary client's request and check that it is served."""
+    client_socket = client(request_bytes(request_id))
+    server_connection = await accept(target.server_listener)
+    await receive_message(server_connection)
+    server_connection.sendall(OK)
+    assert (await receive_message(client_socket)).endswith(b"\r\n\r\nok")
+    client_socket.close()
+    server_connection.close()
 
 
-def run_scenario(scene: Callable[[], Awaitable[None]]) -> None:
-    anyio.run(scene, backend_options={"use_uvloop": True})
+def run_scenario(scenario: Callable[[], Awaitable[None]]) -> None:
+    anyio.run(scenario, backend_options={"use_uvloop": True})
