--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -26,21 +26,21 @@
 from gullmount.scale.process_usage import process_usage
 
 HOST = "127.93.0.1"
-FIRST_SERVER_PORT, PROXY_PORT, BARE_PORT = 9001, 8000, 8100
+FIRST_SERVER_PORT, PROXY_PORT, PASSTHROUGH_PORT = 9001, 8000, 8100
 DISCOVERY_PORT, RELEASE_CONTROLLER_PORT = 7001, 7002
-SERVERS = 8
-CONNECTIONS = 32
-OPEN_REQUESTS = 2000
-KEYS = 5000
+SERVER_COUNT = 8
+CONNECTION_COUNT = 32
+OPEN_REQUEST_COUNT = 2000
+KEY_COUNT = 5000
 WARM_UP_SECONDS = 0.5
-RAMP_SHARE = 0.25  # of the measured time, before it
-DROPPED_SHARE = 5  # one in so many latencies, the first ones, does not count
+RAMP_UP_SHARE = 0.25  # of the measured time, before it
+DROPPED_LATENCY_DIVISOR = 5  # one in so many latencies, the first ones, does not count
 SEND_INTERVAL_SECONDS = 0.0005
 SETTLE_SECONDS = 0.2  # for the last responses
 OPEN_SETTLE_SECONDS = 1.5  # until open requests are in memory
-START_ATTEMPTS, START_INTERVAL_SECONDS = 100, 0.1
-BODY = b"a" * 64  # of every response
-FOLDER = Path(__file__).parent
+MAX_START_ATTEMPTS, START_INTERVAL_SECONDS = 100, 0.1
+RESPONSE_BODY = b"a" * 64  # of every response
+BENCHMARK_FOLDER = Path(__file__).parent
 REQUEST = b"GET /look HTTP/1.1\r\nhost: x\r\nx-key: k%d\r\n\r\n"
 UNANSWERED_REQUEST = b"GET /hold HTTP/1.1\r\nhost: x\r\n\r\n"
 
@@ -64,7 +64,7 @@
         self.on_response = on_response
         self.received = b""
         self.sent_at = 0.0
-        self.count = 0
+        self.request_count = 0
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Keep the connection."""
@@ -72,46 +72,49 @@
 
     def send(self) -> None:
         """Send the next request."""
-        self.count += 1
+        self.request_count += 1
         self.sent_at = time.perf_counter()
-        self.transport.write(REQUEST % (self.count % KEYS))
+        self.transport.write(REQUEST % (self.request_count % KEY_COUNT))
 
     def data_received(self, data: bytes) -> None:
         """Call back once the response is complete."""
         self.received += data
-        if len(self.received) >= len(BODY) and self.received.endswith(BODY):
+        if len(self.received) >= len(RESPONSE_BODY) and self.received.endswith(RESPONSE_BODY):
             self.received = b""
             self.on_response(self, time.perf_counter() - self.sent_at)
 
 
-async def connect(port: int, on_response: ResponseCallback, count: int) -> list[Client]:
+async def connect(port: int, on_response: ResponseCallback, client_count: int) -> list[Client]:
     """Return so many connected clients, once the port accepts connections."""
     loop = asyncio.get_running_loop()
-    for _ in range(START_ATTEMPTS):
+    for _ in range(MAX_START_ATTEMPTS):
         try:
             (await loop.create_connection(asyncio.Protocol, HOST, port))[0].close()
             break
         except OSError:
             await asyncio.sleep(START_INTERVAL_SECONDS)
-    return [(await loop.create_connection(lambda: Client(on_response), HOST, port))[1] for _ in range(count)]
+    return [
+        (await loop.create_connection(lambda: Client(on_response), HOST, port))[1]
+        for _ in range(client_count)
+    ]
 
 
 async def requests_per_second(port: int, seconds: float) -> float:
     """Return the rate of responses with all connections in a closed loop."""
-    count = 0
+    response_count = 0
 
     def send_next(client: Client, _latency: float) -> None:
-        nonlocal count
-        count += 1
+        nonlocal response_count
+        response_count += 1
         client.send()
 
-    clients = await connect(port, send_next, CONNECTIONS)
+    clients = await connect(port, send_next, CONNECTION_COUNT)
     for client in clients:
         client.send()
-    await asyncio.sleep(seconds * RAMP_SHARE)
-    started, count = time.perf_counter(), 0
+    await asyncio.sleep(seconds * RAMP_UP_SHARE)
+    started, response_count = time.perf_counter(), 0
     await asyncio.sleep(seconds)
-    rate = count / (time.perf_counter() - started)
+    rate = response_count / (time.perf_counter() - started)
     for client in clients:
         client.transport.abort()
     return rate
@@ -122,11 +125,11 @@
     latencies: list[float] = []
     idle: list[Client] = []
 
-    def note(client: Client, latency: float) -> None:
+    def record_latency(client: Client, latency: float) -> None:
         latencies.append(latency)
         idle.append(client)
 
-    idle += await connect(port, note, CONNECTIONS)
+    idle += await connect(port, record_latency, CONNECTION_COUNT)
     clients = list(idle)
     started = time.perf_counter()
     sent = 0
@@ -138,23 +141,23 @@
     await asyncio.sleep(SETTLE_SECONDS)
     for client in clients:
         client.transport.abort()
-    return sorted(latencies[len(latencies) // DROPPED_SHARE :])
+    return sorted(latencies[len(latencies) // DROPPED_LATENCY_DIVISOR :])
 
 
 async def bytes_per_open_request(port: int, pid: int) -> float:
     """Return the memory of a request that waits for its response."""
     loop = asyncio.get_running_loop()
-    before = process_usage(pid).resident_bytes
+    bytes_before = process_usage(pid).resident_bytes
     transports = []
-    for _ in range(OPEN_REQUESTS):
+    for _ in range(OPEN_REQUEST_COUNT):
         transport, _ = await loop.create_connection(asyncio.Protocol, HOST, port)
         transport.write(UNANSWERED_REQUEST)
         transports.append(transport)
     await asyncio.sleep(OPEN_SETTLE_SECONDS)
-    after = process_usage(pid).resident_bytes
+    bytes_after = process_usage(pid).resident_bytes
     for transport in transports:
         transport.abort()
-    return (after - before) / OPEN_REQUESTS
+    return (bytes_after - bytes_before) / OPEN_REQUEST_COUNT
 
 
 def write_proxy_configuration(folder: Path) -> str:
@@ -186,30 +189,30 @@
 
 
 def measure_round(
-    seconds: float, bare: subprocess.Popen[str], proxy: subprocess.Popen[str]
+    seconds: float, passthrough: subprocess.Popen[str], proxy: subprocess.Popen[str]
 ) -> dict[str, float]:
     """Return the figures of one round by their names."""
-    loaded_seconds = seconds * (1 + RAMP_SHARE)
+    loaded_seconds = seconds * (1 + RAMP_UP_SHARE)
     no_proxy_rate = asyncio.run(requests_per_second(FIRST_SERVER_PORT, seconds))
-    bare_before = process_usage(bare.pid).processor_seconds
-    bare_rate = asyncio.run(requests_per_second(BARE_PORT, seconds))
-    bare_spent = process_usage(bare.pid).processor_seconds - bare_before
+    passthrough_before = process_usage(passthrough.pid).processor_seconds
+    passthrough_rate = asyncio.run(requests_per_second(PASSTHROUGH_PORT, seconds))
+    passthrough_spent = process_usage(passthrough.pid).processor_seconds - passthrough_before
     decisions_before, proxy_before = decision_and_processor_seconds(proxy)
     proxy_rate = asyncio.run(requests_per_second(PROXY_PORT, seconds))
     decisions_after, proxy_after = decision_and_processor_seconds(proxy)
     proxy_spent = proxy_after - proxy_before
     figures = {
-        "bare cpu us": bare_spent / (bare_rate * loaded_seconds) * 1e6,
+        "bare cpu us": passthrough_spent / (passthrough_rate * loaded_seconds) * 1e6,
         "proxy cpu us": proxy_spent / (proxy_rate * loaded_seconds) * 1e6,
         "decisions' share": (decisions_after - decisions_before) / proxy_spent,
         "no proxy requests/s": no_proxy_rate,
-        "bare requests/s": bare_rate,
+        "bare requests/s": passthrough_rate,
         "proxy requests/s": proxy_rate,
-        "ratio proxy to bare": proxy_rate / bare_rate,
+        "ratio proxy to bare": proxy_rate / passthrough_rate,
     }
-    half = min(bare_rate, proxy_rate) / 2
-    for name, port in (("no proxy", FIRST_SERVER_PORT), ("bare", BARE_PORT), ("proxy", PROXY_PORT)):
-        latencies = asyncio.run(latencies_at(port, half, seconds))
+    half_rate = min(passthrough_rate, proxy_rate) / 2
+    for name, port in (("no proxy", FIRST_SERVER_PORT), ("bare", PASSTHROUGH_PORT), ("proxy", PROXY_PORT)):
+        latencies = asyncio.run(latencies_at(port, half_rate, seconds))
         figures[f"{name} p50 ms"] = latencies[len(latencies) // 2] * 1000
         figures[f"{name} p99 ms"] = latencies[len(latencies) * 99 // 100] * 1000
     return figures
@@ -227,18 +230,25 @@
     with tempfile.TemporaryDirectory() as folder:
         try:
             os.sched_setaffinity(0, {client_core})
-            servers = [str(FOLDER / "fixed_servers.py"), HOST, str(SERVERS)]
-            processes.append(start_process(servers, server_core, wait_for_line=True))
-            addresses = [f"{HOST}:{FIRST_SERVER_PORT + number}" for number in range(SERVERS)]
-            passthrough = [str(FOLDER / "passthrough.py"), f"{HOST}:{BARE_PORT}", *addresses]
-            processes.append(bare := start_process(passthrough, proxy_core))
-            timed_proxy = [str(FOLDER / "timed_proxy.py"), write_proxy_configuration(Path(folder))]
-            processes.append(proxy := start_process(timed_proxy, proxy_core))
-            asyncio.run(requests_per_second(BARE_PORT, WARM_UP_SECONDS))
+            server_arguments = [str(BENCHMARK_FOLDER / "fixed_servers.py"), HOST, str(SERVER_COUNT)]
+            processes.append(start_process(server_arguments, server_core, wait_for_line=True))
+            addresses = [f"{HOST}:{FIRST_SERVER_PORT + number}" for number in range(SERVER_COUNT)]
+            passthrough_arguments = [
+                str(BENCHMARK_FOLDER / "passthrough.py"),
+                f"{HOST}:{PASSTHROUGH_PORT}",
+                *addresses,
+            ]
+            processes.append(passthrough := start_process(passthrough_arguments, proxy_core))
+            proxy_arguments = [
+                str(BENCHMARK_FOLDER / "timed_proxy.py"),
+                write_proxy_configuration(Path(folder)),
+            ]
+            processes.append(proxy := start_process(proxy_arguments, proxy_core))
+            asyncio.run(requests_per_second(PASSTHROUGH_PORT, WARM_UP_SECONDS))
             asyncio.run(requests_per_second(PROXY_PORT, WARM_UP_SECONDS))
             for number in range(arguments.rounds):
                 print(f"round {number + 1} of {arguments.rounds}", file=sys.stderr)
-                for figure, value in measure_round(arguments.seconds, bare, proxy).items():
+                for figure, value in measure_round(arguments.seconds, passthrough, proxy).items():
                     values_by_figure[figure].append(value)
             open_bytes = asyncio.run(bytes_per_open_request(PROXY_PORT, proxy.pid))
             values_by_figure["bytes an open request"].append(open_bytes)
--- a/gullmount/proxy/backoff.py
+++ b/gullmount/proxy/backoff.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-FIRST_BACKOFF_SECONDS = 0.5
+INITIAL_BACKOFF_SECONDS = 0.5
 MAX_BACKOFF_SECONDS = 4.0  # a release status must not be late for longer than a stage lasts
 
 
@@ -13,14 +13,14 @@
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.seconds = FIRST_BACKOFF_SECONDS
+        self.base_delay_seconds = INITIAL_BACKOFF_SECONDS
 
     def reset(self) -> None:
         """The watch worked: begin anew."""
-        self.seconds = FIRST_BACKOFF_SECONDS
+        self.base_delay_seconds = INITIAL_BACKOFF_SECONDS
 
     def next_delay(self) -> float:
         """Return the seconds to wait now."""
-        delay = self.seconds * (1 + self.random.random())
-        self.seconds = min(MAX_BACKOFF_SECONDS, self.seconds * 2)
+        delay = self.base_delay_seconds * (1 + self.random.random())
+        self.base_delay_seconds = min(MAX_BACKOFF_SECONDS, self.base_delay_seconds * 2)
         return delay
--- a/gullmount/proxy/buffered_upstream.py
+++ b/gullmount/proxy/buffered_upstream.py
@@ -40,7 +40,7 @@
         self.transport: Transport | None = None
         self.parser: ResponseParser | None = None
         self.attempt: Attempt | None = None
-        self.used = False
+        self.carried_attempt = False
         self.closed = False
         self.idle_since = upstream.clock()  # while connecting too: the server may count from the first packet
 
@@ -88,13 +88,13 @@
         self,
         upstream: BufferedUpstream,
         exchange: RequestExchange,
-        number: int,
+        attempt_number: int,
         server_id: str,
         timeout: float,
     ) -> None:
         self.upstream = upstream
         self.exchange = exchange
-        self.number = number
+        self.attempt_number = attempt_number
         self.server_id = server_id
         self.timeout = timeout
         self.started_at = upstream.clock()
@@ -111,7 +111,7 @@
         """Write the request on an open connection."""
         self.connection = connection
         connection.attempt = self
-        connection.used = True
+        connection.carried_attempt = True
         head = self.exchange.head
         connection.parser = ResponseParser(MAX_RESPONSE_HEAD_BYTES, head.method)
         time_left = self.timeout - (self.upstream.clock() - self.started_at)
@@ -195,10 +195,10 @@
             self.timer.cancel()
         if self.connection is not None:
             self.connection.close()
-        del self.exchange.open_attempts[self.number]
+        del self.exchange.open_attempts[self.attempt_number]
         response = self.response if end is AttemptEnd.RESPONSE_COMPLETE else None
         latency = self.upstream.clock() - self.started_at
-        self.upstream.on_attempt_end(self.exchange, self.number, end, response, latency)
+        self.upstream.on_attempt_end(self.exchange, self.attempt_number, end, response, latency)
 
 
 class BufferedUpstream(PooledUpstream[Connection]):
@@ -228,10 +228,12 @@
         self.attempt_still_allowed = attempt_still_allowed
         self.wait_until_resumed = wait_until_resumed
 
-    def start_attempt(self, exchange: RequestExchange, number: int, server_id: str, timeout: float) -> None:
+    def start_attempt(
+        self, exchange: RequestExchange, attempt_number: int, server_id: str, timeout: float
+    ) -> None:
         """Send the request, for `timeout` seconds at most; the end is reported after this call."""
-        attempt = Attempt(self, exchange, number, server_id, timeout)
-        exchange.open_attempts[number] = attempt
+        attempt = Attempt(self, exchange, attempt_number, server_id, timeout)
+        exchange.open_attempts[attempt_number] = attempt
         pool = self.pool_for(server_id)
         connection = self.take_idle_connection(pool)
         if connection is not None:
@@ -256,7 +258,7 @@
         for index in reversed(range(len(pool.idle))):
             connection = pool.idle[index]
             idle_time = now - connection.idle_since
-            if idle_time < self.limits.reuse_delay and connection.used:
+            if idle_time < self.limits.reuse_delay and connection.carried_attempt:
                 continue
             assert connection.transport is not None
             if idle_time < self.limits.idle_timeout and connection.transport.is_quiet:
@@ -281,7 +283,7 @@
         elif self.pools.get(connection.server_id) is not connection.pool:
             connection.close()
             attempt.end(AttemptEnd.SERVER_WITHDRAWN)
-        elif not self.attempt_still_allowed(attempt.exchange, attempt.number):
+        elif not self.attempt_still_allowed(attempt.exchange, attempt.attempt_number):
             self.keep_idle(connection)
             attempt.end(AttemptEnd.SERVER_WITHDRAWN)
         else:
@@ -306,8 +308,8 @@
 
     def release_connection(self, connection: Connection, parser: ResponseParser) -> None:
         """Keep the connection for another attempt if the protocol allows it, else close it."""
-        clean = not connection.closed and not parser.parts and parser.error is None and parser.keep_alive
-        if clean and connection.transport is not None and not connection.transport.unsent_bytes:
+        reusable = not connection.closed and not parser.parts and parser.error is None and parser.keep_alive
+        if reusable and connection.transport is not None and not connection.transport.unsent_bytes:
             connection.idle_since = self.clock()
             self.keep_idle(connection)
         else:
--- a/gullmount/proxy/streaming_upstream.py
+++ b/gullmount/proxy/streaming_upstream.py
@@ -114,10 +114,10 @@
 
         One past the idle timeout may be closed by the server while the request is on its way.
         """
-        expired_since = self.clock() - self.limits.idle_timeout
+        idle_cutoff = self.clock() - self.limits.idle_timeout
         while pool.idle:
             connection = pool.idle.pop()
-            if connection.is_quiet and connection.idle_since > expired_since:
+            if connection.is_quiet and connection.idle_since > idle_cutoff:
                 return connection
             connection.close()
         return None
@@ -158,14 +158,14 @@
     def connection_lost(self, server_id: str, pool: ServerPool[Connection]) -> None:
         """A connection has closed, or was not opened; an empty pool goes."""
         self.release_reservation(pool)
-        if pool.open == 0 and self.pools.get(server_id) is pool:
+        if pool.open_count == 0 and self.pools.get(server_id) is pool:
             del self.pools[server_id]
 
     def release_connection(self, server_id: str, connection: Connection) -> None:
         """Keep the connection for another attempt if the protocol allows it, else close it."""
         parser = connection.parser
-        clean = self.pools.get(server_id) is connection.pool and connection.is_quiet and not parser.parts
-        if connection.request_written and parser.keep_alive and parser.error is None and clean:
+        reusable = self.pools.get(server_id) is connection.pool and connection.is_quiet and not parser.parts
+        if connection.request_written and parser.keep_alive and parser.error is None and reusable:
             connection.idle_since = self.clock()
             connection.pool.idle.append(connection)
         else:
@@ -174,19 +174,19 @@
     # One attempt.
 
     async def run_attempt(
-        self, exchange: RequestExchange, number: int, server_id: str, timeout: float
+        self, exchange: RequestExchange, attempt_number: int, server_id: str, timeout: float
     ) -> tuple[AttemptEnd, Response | None]:
         """Send the request to the server and read its response, for `timeout` seconds at most."""
         progress = AttemptProgress()
         scope = anyio.CancelScope(deadline=anyio.current_time() + timeout)
-        exchange.open_attempts[number] = scope
+        exchange.open_attempts[attempt_number] = scope
         with scope:
             if exchange.client_left:
                 return AttemptEnd.CLIENT_DISCONNECTED, None
             if exchange.remaining_body_read:
                 return AttemptEnd.BODY_NOT_REPLAYABLE, None
-            await self.exchange_with_server(exchange, number, server_id, scope, progress)
-        del exchange.open_attempts[number]
+            await self.exchange_with_server(exchange, attempt_number, server_id, scope, progress)
+        del exchange.open_attempts[attempt_number]
         if progress.end is not None:
             return progress.end, progress.response
         if exchange.client_left:  # the scope ended the attempt before the response was complete
@@ -198,7 +198,7 @@
     async def exchange_with_server(
         self,
         exchange: RequestExchange,
-        number: int,
+        attempt_number: int,
         server_id: str,
         scope: anyio.CancelScope,
         progress: AttemptProgress,
@@ -211,7 +211,7 @@
         complete = False
         try:
             await self.wait_until_resumed()
-            if not self.attempt_still_allowed(exchange, number):
+            if not self.attempt_still_allowed(exchange, attempt_number):
                 progress.end = AttemptEnd.SERVER_WITHDRAWN
                 return
             try:
@@ -220,7 +220,7 @@
             except STREAM_ERRORS:
                 progress.end = AttemptEnd.WRITE_FAILED if progress.write_begun else AttemptEnd.CONNECT_REFUSED
                 return
-            progress.end = await self.read_response(exchange, number, connection, progress)
+            progress.end = await self.read_response(exchange, attempt_number, connection, progress)
             complete = progress.end is AttemptEnd.RESPONSE_COMPLETE
         except ProtocolError as error:
             progress.end = protocol_error_end(error)
@@ -240,12 +240,15 @@
         ]
         if not any(name == b"host" for name, _ in headers):
             headers.append((b"host", server_id.encode()))
-        length, coding = exchange.head.get("content-length"), exchange.head.get("transfer-encoding")
+        content_length, transfer_encoding = (
+            exchange.head.get("content-length"),
+            exchange.head.get("transfer-encoding"),
+        )
         if exchange.remaining_body is None:
-            if exchange.body or length or coding:
+            if exchange.body or content_length or transfer_encoding:
                 headers.append((b"content-length", b"%d" % len(exchange.body)))
-        elif length:
-            headers.append((b"content-length", length.encode()))
+        elif content_length:
+            headers.append((b"content-length", content_length.encode()))
         else:
             headers.append((b"transfer-encoding", b"chunked"))
         return headers
@@ -270,8 +273,8 @@
         else:
             exchange.remaining_body_read = True
             chunked = headers[-1] == (b"transfer-encoding", b"chunked")
-            first = encode_chunk(exchange.body) if chunked else exchange.body
-            await connection.stream.send(encoded_head + first)
+            initial_data = encode_chunk(exchange.body) if chunked else exchange.body
+            await connection.stream.send(encoded_head + initial_data)
             async for data in exchange.remaining_body():
                 await connection.stream.send(encode_chunk(data) if chunked else data)
             if chunked:
@@ -291,18 +294,22 @@
                     return part
 
     async def read_response(
-        self, exchange: RequestExchange, number: int, connection: Connection, progress: AttemptProgress
+        self,
+        exchange: RequestExchange,
+        attempt_number: int,
+        connection: Connection,
+        progress: AttemptProgress,
     ) -> AttemptEnd:
         """Read the response; one that is streamed, or too large to be buffered, is relayed as it comes."""
         response = await self.read_response_head(connection)
         if isinstance(response, AttemptEnd):
             return response
         progress.response = response
-        failed = response.status >= FIRST_SERVER_ERROR_STATUS
-        streamed = exchange.streams_response and not failed
+        is_server_error = response.status >= FIRST_SERVER_ERROR_STATUS
+        streamed = exchange.streams_response and not is_server_error
         max_buffered_bytes = 0 if streamed else self.limits.max_buffered_response_bytes
         if max_buffered_bytes == 0 and not exchange.settled:
-            return await self.relay_response_body(exchange, number, connection, response, b"")
+            return await self.relay_response_body(exchange, attempt_number, connection, response, b"")
         body_parts: list[bytes] = []
         body_size = 0
         while True:
@@ -315,29 +322,31 @@
             body_parts.append(part)
             body_size += len(part)
             if body_size > max_buffered_bytes:
-                if failed or exchange.settled:
+                if is_server_error or exchange.settled:
                     return AttemptEnd.RESPONSE_TOO_LARGE
-                first = b"".join(body_parts)
-                return await self.relay_response_body(exchange, number, connection, response, first)
+                initial_data = b"".join(body_parts)
+                return await self.relay_response_body(
+                    exchange, attempt_number, connection, response, initial_data
+                )
 
     async def relay_response_body(
         self,
         exchange: RequestExchange,
-        number: int,
+        attempt_number: int,
         connection: Connection,
         response: Response,
-        first: bytes,
+        initial_data: bytes,
     ) -> AttemptEnd:
         """Relay the body to the client as it comes; only a pause that is too long ends it, no deadline."""
-        client_body = exchange.begin_response(response, number)
-        with client_body, anyio.CancelScope() as pause:
-            data = first
+        client_body = exchange.begin_response(response, attempt_number)
+        with client_body, anyio.CancelScope() as read_timeout_scope:
+            data = initial_data
             while True:
                 try:
                     await client_body.send(data)
                 except STREAM_ERRORS:
                     return AttemptEnd.CLIENT_DISCONNECTED
-                pause.deadline = anyio.current_time() + RELAY_READ_TIMEOUT_SECONDS
+                read_timeout_scope.deadline = anyio.current_time() + RELAY_READ_TIMEOUT_SECONDS
                 part = await connection.next_part()
                 if isinstance(part, EndOfMessage):
                     return AttemptEnd.RESPONSE_COMPLETE
--- a/gullmount/proxy/timers.py
+++ b/gullmount/proxy/timers.py
@@ -35,24 +35,24 @@
         self.clock = clock
         self.wait_until_resumed = wait_until_resumed
         self.pending: list[tuple[float, int, Timer]] = []
-        self.order = count()
-        self.earlier_timer = anyio.Event()
+        self.sequence = count()
+        self.earlier_timer_added = anyio.Event()
         self.wakes_at = 0.0  # when the task wakes next, on `clock`
         self.max_delay = 0.0  # seconds that the task woke too late at most
 
     def call_after(self, delay: float, callback: Callable[[], None]) -> Timer:
         """Call `callback` in `delay` seconds, unless the timer is cancelled before."""
         timer = Timer(callback)
-        at = self.clock() + max(0.0, delay)
-        heappush(self.pending, (at, next(self.order), timer))
-        if at < self.wakes_at:
-            self.earlier_timer.set()
+        due_at = self.clock() + max(0.0, delay)
+        heappush(self.pending, (due_at, next(self.sequence), timer))
+        if due_at < self.wakes_at:
+            self.earlier_timer_added.set()
         return timer
 
     def take_max_delay(self) -> float:
         """Return by how many seconds a busy event loop was late at most since the last call."""
-        latest, self.max_delay = self.max_delay, 0.0
-        return latest
+        longest_delay, self.max_delay = self.max_delay, 0.0
+        return longest_delay
 
     async def run(self) -> None:
         """Call what is due, until cancelled."""
@@ -65,9 +65,9 @@
                     timer.callback()
             self.wakes_at = self.pending[0][0] if self.pending else float("inf")
             with anyio.move_on_after(self.wakes_at - now) as scope:
-                await self.earlier_timer.wait()
+                await self.earlier_timer_added.wait()
             if scope.cancelled_caught:
                 self.max_delay = max(self.max_delay, self.clock() - self.wakes_at)
-            if self.earlier_timer.is_set():
-                self.earlier_timer = anyio.Event()
+            if self.earlier_timer_added.is_set():
+                self.earlier_timer_added = anyio.Event()
             self.wakes_at = 0.0
--- a/gullmount/proxy/upstream_pool.py
+++ b/gullmount/proxy/upstream_pool.py
@@ -28,11 +28,11 @@
 class ServerPool(Generic[ConnectionT]):
     """The connections to one server: how many are open, and which are idle, the newest last."""
 
-    __slots__ = ("idle", "open")
+    __slots__ = ("idle", "open_count")
 
     def __init__(self) -> None:
         self.idle: list[ConnectionT] = []
-        self.open = 0
+        self.open_count = 0
 
 
 class PooledUpstream(Generic[ConnectionT]):
@@ -57,17 +57,17 @@
         if self.open_connections >= self.limits.max_connections:
             self.close_oldest_idle()
         if (
-            pool.open >= self.limits.max_connections_per_server
+            pool.open_count >= self.limits.max_connections_per_server
             or self.open_connections >= self.limits.max_connections
         ):
             return False
-        pool.open += 1
+        pool.open_count += 1
         self.open_connections += 1
         return True
 
     def release_reservation(self, pool: ServerPool[ConnectionT]) -> None:
         """A connection has closed, or was not opened."""
-        pool.open -= 1
+        pool.open_count -= 1
         self.open_connections -= 1
 
     def close_idle(self, pool: ServerPool[ConnectionT], connection: ConnectionT) -> None:
@@ -96,9 +96,13 @@
         """Close connections idle past the timeout and drop empty pools, until cancelled."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL_SECONDS)
-            expired_since = self.clock() - self.limits.idle_timeout
+            idle_cutoff = self.clock() - self.limits.idle_timeout
             for server_id, pool in list(self.pools.items()):
-                for connection in [one for one in pool.idle if one.idle_since < expired_since]:
+                for connection in [
+                    idle_connection
+                    for idle_connection in pool.idle
+                    if idle_connection.idle_since < idle_cutoff
+                ]:
                     self.close_idle(pool, connection)
-                if pool.open == 0:
+                if pool.open_count == 0:
                     del self.pools[server_id]
--- a/tests/proxy/test_backoff.py
+++ b/tests/proxy/test_backoff.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gullmount.proxy.backoff import FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, Backoff
+from gullmount.proxy.backoff import INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, Backoff
 
 
 class NoJitter(Random):
@@ -14,16 +14,16 @@
         return 0.0
 
 
-def test_wait_doubles_up_to_its_limit_and_begins_anew_after_a_success() -> None:
+def test_delay_doubles_up_to_its_limit_and_restarts_after_a_reset() -> None:
     backoff = Backoff(NoJitter())
     assert [backoff.next_delay() for _ in range(5)] == [0.5, 1.0, 2.0, 4.0, 4.0]
     backoff.reset()
-    assert backoff.next_delay() == FIRST_BACKOFF_SECONDS
+    assert backoff.next_delay() == INITIAL_BACKOFF_SECONDS
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_jitter_adds_at_most_as_much_again(seed: int) -> None:
+def test_jitter_at_most_doubles_the_delay(seed: int) -> None:
     backoff = Backoff(Random(seed))
-    base = [0.5, 1.0, 2.0, 4.0, 4.0, 4.0]
-    for seconds in base:
-        assert seconds <= backoff.next_delay() <= 2 * seconds <= 2 * MAX_BACKOFF_SECONDS
+    base_delays = [0.5, 1.0, 2.0, 4.0, 4.0, 4.0]
+    for base_delay in base_delays:
+        assert base_delay <= backoff.next_delay() <= 2 * base_delay <= 2 * MAX_BACKOFF_SECONDS
--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -21,14 +21,14 @@
 )
 
 
-class Adapter:
+class FixedLimitsAdapter:
     upstream_limits = LIMITS
 
 
-class Connection:
+class FakeConnection:
     """Counts itself as closed as soon as it is closed."""
 
-    def __init__(self, upstream: PooledUpstream[Connection], pool: ServerPool[Connection]) -> None:
+    def __init__(self, upstream: PooledUpstream[FakeConnection], pool: ServerPool[FakeConnection]) -> None:
         self.upstream, self.pool = upstream, pool
         self.idle_since = upstream.clock()
         self.closed = False
@@ -38,86 +38,88 @@
         self.upstream.release_reservation(self.pool)
 
 
-class Pools:
+class PooledUpstreamHarness:
     """An upstream whose clock stands still until `now` is set."""
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.upstream = PooledUpstream[Connection](cast(ProtocolAdapter, Adapter()), lambda: self.now)
+        self.upstream = PooledUpstream[FakeConnection](
+            cast(ProtocolAdapter, FixedLimitsAdapter()), lambda: self.now
+        )
 
-    def open(self, server_id: str, *, idle: bool = False) -> Connection | None:
+    def open_connection(self, server_id: str, *, idle: bool = False) -> FakeConnection | None:
         pool = self.upstream.pool_for(server_id)
         if not self.upstream.reserve_connection(pool):
             return None
-        connection = Connection(self.upstream, pool)
+        connection = FakeConnection(self.upstream, pool)
         if idle:
             pool.idle.append(connection)
         return connection
 
-    def open_by_server(self) -> dict[str, int]:
-        return {server_id: pool.open for server_id, pool in self.upstream.pools.items()}
+    def open_counts(self) -> dict[str, int]:
+        return {server_id: pool.open_count for server_id, pool in self.upstream.pools.items()}
 
 
-def played(scene: Callable[[], Awaitable[Any]]) -> Any:
+def run_in_virtual_time(scenario: Callable[[], Awaitable[Any]]) -> Any:
     clock = trio.testing.MockClock(autojump_threshold=0)
-    return anyio.run(scene, backend="trio", backend_options={"clock": clock})
+    return anyio.run(scenario, backend="trio", backend_options={"clock": clock})
 
 
-def test_no_connection_beyond_the_limit_of_a_server() -> None:
-    pools = Pools()
-    assert pools.open("a") and pools.open("a")
-    assert pools.open("a") is None
-    assert pools.open_by_server() == {"a": 2} and pools.upstream.open_connections == 2
+def test_connection_beyond_the_limit_of_a_server_is_refused() -> None:
+    harness = PooledUpstreamHarness()
+    assert harness.open_connection("a") and harness.open_connection("a")
+    assert harness.open_connection("a") is None
+    assert harness.open_counts() == {"a": 2} and harness.upstream.open_connections == 2
 
 
-def test_no_connection_beyond_the_limit_of_all_servers_while_all_are_busy() -> None:
-    pools = Pools()
-    assert pools.open("a") and pools.open("a") and pools.open("b")
-    assert pools.open("b") is None
-    assert pools.upstream.open_connections == 3
+def test_connection_beyond_the_total_limit_is_refused_while_all_are_busy() -> None:
+    harness = PooledUpstreamHarness()
+    assert harness.open_connection("a") and harness.open_connection("a") and harness.open_connection("b")
+    assert harness.open_connection("b") is None
+    assert harness.upstream.open_connections == 3
 
 
-def test_connection_idle_for_longest_makes_room_for_a_needed_one() -> None:
-    pools = Pools()
-    oldest = pools.open("a", idle=True)
-    pools.now += 1
-    newer = pools.open("b", idle=True)
-    assert pools.open("a") and pools.open("c")
+def test_longest_idle_connection_is_closed_to_open_another_at_the_total_limit() -> None:
+    harness = PooledUpstreamHarness()
+    oldest = harness.open_connection("a", idle=True)
+    harness.now += 1
+    newer = harness.open_connection("b", idle=True)
+    assert harness.open_connection("a") and harness.open_connection("c")
     assert oldest and oldest.closed and newer and not newer.closed
-    assert pools.upstream.open_connections == 3
+    assert harness.upstream.open_connections == 3
 
 
-def test_released_reservation_can_be_used_again() -> None:
-    pools = Pools()
-    pool = pools.upstream.pool_for("a")
-    assert pools.open("a") and pools.open("a")
-    pools.upstream.release_reservation(pool)
-    assert pools.open("a") and pools.open("a") is None
+def test_released_reservation_allows_another_connection() -> None:
+    harness = PooledUpstreamHarness()
+    pool = harness.upstream.pool_for("a")
+    assert harness.open_connection("a") and harness.open_connection("a")
+    harness.upstream.release_reservation(pool)
+    assert harness.open_connection("a") and harness.open_connection("a") is None
 
 
-def test_removed_server_loses_its_idle_connections_and_keeps_busy_ones() -> None:
-    pools = Pools()
-    idle, busy = pools.open("a", idle=True), pools.open("a")
-    pools.upstream.remove_server("a")
+def test_removing_a_server_closes_its_idle_connections_and_keeps_busy_ones() -> None:
+    harness = PooledUpstreamHarness()
+    idle, busy = harness.open_connection("a", idle=True), harness.open_connection("a")
+    harness.upstream.remove_server("a")
     assert idle and idle.closed and busy and not busy.closed
-    assert pools.upstream.pools == {} and pools.upstream.open_connections == 1
-    pools.upstream.remove_server("a")
+    assert harness.upstream.pools == {} and harness.upstream.open_connections == 1
+    harness.upstream.remove_server("a")
 
 
 def test_sweep_closes_connections_idle_past_the_timeout_and_drops_empty_pools() -> None:
-    pools = Pools()
+    harness = PooledUpstreamHarness()
 
-    async def scene() -> tuple[bool, bool]:
-        old = pools.open("a", idle=True)
-        pools.now += 4
-        young = pools.open("b", idle=True)
-        pools.now += 1.5
+    async def scenario() -> tuple[bool, bool]:
+        expired = harness.open_connection("a", idle=True)
+        harness.now += 4
+        recent = harness.open_connection("b", idle=True)
+        harness.now += 1.5
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(pools.upstream.sweep)
+            tasks.start_soon(harness.upstream.sweep)
             await anyio.sleep(1.5)
             tasks.cancel_scope.cancel()
-        assert old and young
-        return old.closed, young.closed
+        assert expired and recent
+        return expired.closed, recent.closed
 
-    assert played(scene) == (True, False)
-    assert pools.open_by_server() == {"b": 1}
+    assert run_in_virtual_time(scenario) == (True, False)
+    assert harness.open_counts() == {"b": 1}
