--- a/gullmount/proxy/buffered_upstream.py
+++ b/gullmount/proxy/buffered_upstream.py
@@ -1,6 +1,7 @@
-"""Upstream attempts by callbacks, for messages that are buffered whole: no task per attempt or connection.
+"""Sends attempts to servers through callbacks, and buffers every message whole.
 
-Reports how an attempt ended and decides nothing. `streaming_upstream.py` also relays bodies in pieces.
+There is no task per attempt or per connection. The upstream reports how an attempt ended and makes no routing
+decisions. `streaming_upstream.py` also relays bodies without buffering them whole.
 """
 
 from __future__ import annotations
@@ -27,11 +28,18 @@
 from gullmount.proxy.timers import Timer, Timers
 from gullmount.proxy.upstream_pool import MAX_RESPONSE_HEAD_BYTES, PooledUpstream, ServerPool
 
-BODYLESS_METHODS = ("GET", "HEAD")  # their requests commonly have no length where they have no body
+# Requests of these methods commonly have no Content-Length if they have no body.
+BODYLESS_METHODS = ("GET", "HEAD")
 
 
 class Connection:
-    """One connection to a server; `used` tells that it has carried an attempt."""
+    """One connection to a server.
+
+    Attributes:
+        carried_attempt: Whether an attempt has been sent on the connection.
+        idle_since: Time in seconds of the upstream's clock. Before the first attempt, the time at which
+            connecting began: the server may count its idle timeout from the first packet.
+    """
 
     def __init__(self, upstream: BufferedUpstream, server_id: str, pool: ServerPool[Connection]) -> None:
         self.upstream = upstream
@@ -42,10 +50,14 @@
         self.attempt: Attempt | None = None
         self.carried_attempt = False
         self.closed = False
-        self.idle_since = upstream.clock()  # while connecting too: the server may count from the first packet
+        self.idle_since = upstream.clock()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the response; others end the connection: they would pass for the next response."""
+        """Read bytes of the response.
+
+        Bytes that arrive without an attempt in flight close the connection: they would be taken for the next
+        response.
+        """
         if self.attempt is None or self.parser is None:
             self.close()
             return
@@ -54,14 +66,14 @@
         self.attempt.read_response(self.parser)
 
     def connection_ended(self, clean: bool) -> None:
-        """The server closed the connection, or it broke."""
+        """Handle the end of the connection: the server closed it or it failed."""
         self.mark_closed()
         attempt = self.attempt
         if attempt is not None:
             attempt.connection_ended(clean)
 
     def mark_closed(self) -> None:
-        """Count the connection as closed, once."""
+        """Release the reservation and leave the pool, the first time only."""
         if not self.closed:
             self.closed = True
             self.upstream.release_reservation(self.pool)
@@ -69,7 +81,7 @@
                 self.pool.idle.remove(self)
 
     def close(self) -> None:
-        """End the connection and what is in flight on it."""
+        """Close the connection and detach the attempt in flight on it; its end is not reported from here."""
         self.attempt = None
         self.mark_closed()
         if self.transport is not None:
@@ -77,11 +89,13 @@
 
 
 class Attempt:
-    """One upstream attempt; its end is reported once.
+    """One upstream attempt, whose end is reported exactly once.
 
     Attributes:
-        deadline: not used here, as nothing is relayed in pieces.
-        response_started: whether any byte of a response has come.
+        timeout: Seconds from the start of the attempt, connecting included.
+        started_at: Time in seconds of the upstream's clock.
+        deadline: Unused, because no response is relayed before it is complete.
+        response_started: Whether any byte of a response has been received.
     """
 
     def __init__(
@@ -108,7 +122,7 @@
         self.timer: Timer | None = None
 
     def send_request(self, connection: Connection) -> None:
-        """Write the request on an open connection."""
+        """Write the request to an open connection."""
         self.connection = connection
         connection.attempt = self
         connection.carried_attempt = True
@@ -124,7 +138,7 @@
         )
 
     def read_response(self, parser: ResponseParser) -> None:
-        """Take the parts that the parser has read."""
+        """Process the parts of the response that the parser has read."""
         while parser.parts:
             part = parser.parts.popleft()
             if isinstance(part, Response):
@@ -145,7 +159,7 @@
             self.end(protocol_error_end(parser.error))
 
     def response_complete(self, parser: ResponseParser) -> None:
-        """The response was read to its end: the connection is free again."""
+        """Report the complete response, and release its connection for reuse."""
         assert self.response is not None and self.connection is not None
         self.response.body = b"".join(self.body_parts)
         connection, self.connection = self.connection, None
@@ -154,7 +168,12 @@
         self.end(AttemptEnd.RESPONSE_COMPLETE)
 
     def connection_ended(self, clean: bool) -> None:
-        """The connection ended; only a `clean` end may end a response (RFC 9112, 8)."""
+        """End the attempt, because its connection ended.
+
+        Args:
+            clean: Whether the server closed the connection without an error. Only such an end can complete a
+                response (RFC 9112, section 8).
+        """
         connection = self.connection
         assert connection is not None and connection.parser is not None and connection.transport is not None
         if self.response is not None:
@@ -171,9 +190,9 @@
             self.end(AttemptEnd.CLOSED_BEFORE_RESPONSE)
 
     def expire(self) -> None:
-        """The attempt's time ran out.
+        """End the attempt, because its timeout has passed.
 
-        A response that has begun counts as truncated: as a timeout it would read as an overloaded server.
+        A response that has started counts as truncated. As a timeout, it would indicate an overloaded server.
         """
         if self.connection is None:
             self.end(AttemptEnd.DEADLINE_WHILE_CONNECTING)
@@ -183,11 +202,11 @@
             self.end(AttemptEnd.DEADLINE_BEFORE_RESPONSE)
 
     def cancel(self) -> None:
-        """The client left."""
+        """End the attempt, because the client disconnected."""
         self.end(AttemptEnd.CLIENT_DISCONNECTED)
 
     def end(self, end: AttemptEnd) -> None:
-        """Report the end, the first time; a connection that is still in use is closed."""
+        """Close the connection if it is still attached, and report the end, the first time only."""
         if self.ended:
             return
         self.ended = True
@@ -202,12 +221,13 @@
 
 
 class BufferedUpstream(PooledUpstream[Connection]):
-    """All connections of one instance, by callbacks.
+    """The connections and attempts of one instance, driven by callbacks.
 
     Attributes:
-        on_attempt_end: is called when an attempt has ended.
-        attempt_still_allowed: says whether an attempt that waited for its connection may still be sent.
-        wait_until_resumed: returns once the loop has read what came during a stall.
+        on_attempt_end: Called when an attempt has ended.
+        attempt_still_allowed: Returns whether an attempt that waited for its connection may still be sent.
+        wait_until_resumed: Returns at once, or after a stall once the event loop has read the data that
+            arrived during it.
     """
 
     def __init__(
@@ -231,7 +251,10 @@
     def start_attempt(
         self, exchange: RequestExchange, attempt_number: int, server_id: str, timeout: float
     ) -> None:
-        """Send the request, for `timeout` seconds at most; the end is reported after this call."""
+        """Start an attempt that ends after `timeout` seconds at the latest.
+
+        Its end is reported after this method has returned.
+        """
         attempt = Attempt(self, exchange, attempt_number, server_id, timeout)
         exchange.open_attempts[attempt_number] = attempt
         pool = self.pool_for(server_id)
@@ -248,11 +271,12 @@
             )
 
     def take_idle_connection(self, pool: ServerPool[Connection]) -> Connection | None:
-        """Take the newest idle connection past the reuse delay, so that the others can expire.
+        """Take the newest idle connection that may be reused; return None if there is none.
 
-        Bytes that follow a response late, or lie unread at the socket, would pass for the next response;
-        hence the delay and the look at the socket. A connection past the idle timeout may be closed by the
-        server while the request is on its way.
+        Taking the newest one lets the others expire. Late bytes that follow a response, or bytes unread
+        at the socket, would be taken for the next response: a connection is reused only after the reuse delay
+        and if its socket has no unread data. A connection past the idle timeout is closed, because the server
+        may close it while the request is in transit.
         """
         now = self.clock()
         for index in reversed(range(len(pool.idle))):
@@ -268,10 +292,10 @@
         return None
 
     async def connect(self, attempt: Attempt, connection: Connection) -> None:
-        """Open the connection and send the attempt on it, if it is still allowed.
+        """Open the connection and send the attempt on it, if the attempt is still allowed.
 
-        While the connection came up the server may have begun to drain, gone or been replaced, or the
-        limits may have changed. Nothing has been sent by then, so that another server may have the request.
+        While the connection is being opened, the server may begin to drain, disappear or be replaced, or the
+        limits may change. No byte has been sent by then, so another server may get the request.
         """
         failure = await self.open_connection(connection)
         await self.wait_until_resumed()
@@ -290,7 +314,7 @@
             attempt.send_request(connection)
 
     async def open_connection(self, connection: Connection) -> AttemptEnd | None:
-        """Connect; returns how the attempt ended where that failed."""
+        """Open the connection; return the end of the attempt if that fails, else None."""
         try:
             with anyio.fail_after(self.limits.connect_timeout):
                 address = self.adapter.server_address(connection.server_id)
@@ -303,11 +327,12 @@
             connection.mark_closed()
             raise
         if connection.closed or not connection.transport.is_quiet:
-            return AttemptEnd.CONNECT_REFUSED  # it sent something or ended before the request
+            # The server sent data or closed the connection before the request.
+            return AttemptEnd.CONNECT_REFUSED
         return None
 
     def release_connection(self, connection: Connection, parser: ResponseParser) -> None:
-        """Keep the connection for another attempt if the protocol allows it, else close it."""
+        """Return the connection to its pool if it can be reused, else close it."""
         reusable = not connection.closed and not parser.parts and parser.error is None and parser.keep_alive
         if reusable and connection.transport is not None and not connection.transport.unsent_bytes:
             connection.idle_since = self.clock()
@@ -316,7 +341,10 @@
             connection.close()
 
     def keep_idle(self, connection: Connection) -> None:
-        """Put the connection into its pool; it closes if another process has the server's address now."""
+        """Return the connection to its pool, or close it if the pool is no longer in use.
+
+        That is the case if the server was removed, or if another process has its address now.
+        """
         if self.pools.get(connection.server_id) is not connection.pool:
             connection.close()
             return
--- a/gullmount/proxy/outcomes.py
+++ b/gullmount/proxy/outcomes.py
@@ -1,7 +1,8 @@
-"""How attempts end at the socket, and which outcome that is to the router. No I/O.
+"""Maps the end of an attempt, as seen at its socket, to an outcome for the router. Does no I/O.
 
-An outcome says that an attempt cannot have run only where that is a fact: no byte of the request was handed
-to a connection, or the server itself says that it did not begin. Any other attempt may have run.
+An outcome states that the server did not execute an attempt only in two cases: no byte of the request was
+written to a connection, or the server itself states that it did not begin. Any other attempt may have been
+executed.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class AttemptEnd(Enum):
-    """How an upstream attempt ended, as seen at its socket."""
+    """How an upstream attempt ended, as seen at its socket; the value describes it."""
 
     CONNECT_REFUSED = "connect refused, or broken before a byte of the request was written"
     CONNECT_TIMEOUT = "not connected within the connect timeout"
@@ -52,7 +53,7 @@
 
 
 def protocol_error_end(error: ProtocolError) -> AttemptEnd:
-    """Return how an attempt ended whose response broke the protocol."""
+    """Return the end of an attempt whose response violated the protocol."""
     too_large = error.status == HEAD_TOO_LARGE
     return AttemptEnd.RESPONSE_TOO_LARGE if too_large else AttemptEnd.MALFORMED_RESPONSE
 
@@ -60,7 +61,11 @@
 def attempt_outcome(end: AttemptEnd, status: int = 0, not_begun: bool = False) -> Outcome:
     """Return the outcome of an attempt for the router.
 
-    `status` and `not_begun`, the server's own mark that it did not begin, count for a complete response only.
+    Args:
+        end: How the attempt ended.
+        status: Status of the response; ignored unless the response is complete.
+        not_begun: Whether the server marked the request as not begun; ignored unless the response is
+            complete.
     """
     if end is not AttemptEnd.RESPONSE_COMPLETE:
         return OUTCOME_BY_ATTEMPT_END[end]
--- a/gullmount/proxy/streaming_upstream.py
+++ b/gullmount/proxy/streaming_upstream.py
@@ -1,7 +1,7 @@
-"""Upstream attempts in a task each, for the generic adapter: bodies may be relayed in pieces, either way.
+"""Sends each attempt to a server in a task of its own, and can stream bodies in both directions.
 
-Reports how an attempt ended and decides nothing. `buffered_upstream.py` carries messages that are buffered
-whole.
+Used by the generic adapter. The upstream reports how an attempt ended and makes no routing decisions.
+`buffered_upstream.py` serves adapters that buffer every message whole.
 """
 
 from __future__ import annotations
@@ -31,30 +31,34 @@
 from gullmount.proxy.request_exchange import RequestExchange
 from gullmount.proxy.upstream_pool import MAX_RESPONSE_HEAD_BYTES, PooledUpstream, ServerPool
 
-RELAY_READ_TIMEOUT_SECONDS = (
-    30.0  # a relayed response may pause: its client's deadline does not bind any more
-)
+# Longest pause in a relayed response, to which the client's deadline no longer applies.
+RELAY_READ_TIMEOUT_SECONDS = 30.0
 
 
 class Connection:
-    """One connection to a server."""
+    """One connection to a server.
+
+    Attributes:
+        request_written: Whether the request in flight has been written completely.
+        idle_since: Time in seconds of the upstream's clock.
+    """
 
     def __init__(self, stream: Stream, pool: ServerPool[Connection], now: float) -> None:
         self.stream = stream
         self.pool = pool
         self.incoming = ReadAheadStream(stream)
         self.parser = ResponseParser(MAX_RESPONSE_HEAD_BYTES, "GET")
-        self.request_written = False  # the request in flight was written to its end
+        self.request_written = False
         self.scope = anyio.CancelScope()
         self.idle_since = now
 
     @property
     def is_quiet(self) -> bool:
-        """Whether neither the end nor any unexpected byte has been seen."""
+        """Whether the connection is open and has no unread bytes."""
         return not self.incoming.ended and not self.incoming.chunks
 
     async def run(self) -> None:
-        """Read ahead until the connection ends or is closed."""
+        """Read ahead until the connection ends or is closed, then close the stream."""
         with self.scope:
             try:
                 await self.incoming.run()
@@ -62,13 +66,14 @@
                 await anyio.aclose_forcefully(self.stream)
 
     def close(self) -> None:
-        """End the connection and what is in flight on it."""
+        """Close the connection and abort the attempt in flight on it."""
         self.scope.cancel()
 
     async def next_part(self) -> MessagePart | None:
-        """Return the next part of the response; None once the connection ended before it.
+        """Return the next part of the response, or None if the connection ended before it.
 
-        Raises ProtocolError.
+        Raises:
+            ProtocolError: The response violates the protocol.
         """
         parser = self.parser
         while not parser.parts:
@@ -82,7 +87,13 @@
 
 
 class AttemptProgress:
-    """How far one attempt has come; `write_begun` tells that a byte of the request may have left."""
+    """Progress of one attempt.
+
+    Attributes:
+        write_begun: Whether any byte of the request may have been sent.
+        end: How the attempt ended; None until it has, and if its scope was cancelled.
+        response: The response, from the time at which its head has been read.
+    """
 
     def __init__(self) -> None:
         self.write_begun = False
@@ -91,7 +102,13 @@
 
 
 class StreamingUpstream(PooledUpstream[Connection]):
-    """All connections of one instance, by tasks."""
+    """The connections and attempts of one instance, with a task for each.
+
+    Attributes:
+        wait_until_resumed: Returns at once, or after a stall once the event loop has read the data that
+            arrived during it.
+        attempt_still_allowed: Returns whether an attempt that waited for its connection may still be sent.
+    """
 
     def __init__(
         self,
@@ -110,9 +127,10 @@
     # Connections.
 
     def take_idle_connection(self, pool: ServerPool[Connection]) -> Connection | None:
-        """Take the newest idle connection, so that the others can expire.
+        """Take the newest idle connection that may be reused; return None if there is none.
 
-        One past the idle timeout may be closed by the server while the request is on its way.
+        Taking the newest one lets the others expire. A connection past the idle timeout is closed,
+        because the server may close it while the request is in transit.
         """
         idle_cutoff = self.clock() - self.limits.idle_timeout
         while pool.idle:
@@ -123,7 +141,7 @@
         return None
 
     async def acquire_connection(self, server_id: str) -> Connection | AttemptEnd:
-        """Take an idle connection or open one; returns how the attempt ended where there is none."""
+        """Take an idle connection or open one; return the end of the attempt if neither succeeds."""
         pool = self.pool_for(server_id)
         connection = self.take_idle_connection(pool)
         if connection is not None:
@@ -147,7 +165,7 @@
     async def run_connection(
         self, server_id: str, pool: ServerPool[Connection], connection: Connection
     ) -> None:
-        """The task of one connection."""
+        """Run a connection until it ends, then remove it from its pool."""
         try:
             await connection.run()
         finally:
@@ -156,13 +174,13 @@
             self.connection_lost(server_id, pool)
 
     def connection_lost(self, server_id: str, pool: ServerPool[Connection]) -> None:
-        """A connection has closed, or was not opened; an empty pool goes."""
+        """Release a connection that has closed or could not be opened, and drop the pool if it is empty."""
         self.release_reservation(pool)
         if pool.open_count == 0 and self.pools.get(server_id) is pool:
             del self.pools[server_id]
 
     def release_connection(self, server_id: str, connection: Connection) -> None:
-        """Keep the connection for another attempt if the protocol allows it, else close it."""
+        """Return the connection to its pool if it can be reused, else close it."""
         parser = connection.parser
         reusable = self.pools.get(server_id) is connection.pool and connection.is_quiet and not parser.parts
         if connection.request_written and parser.keep_alive and parser.error is None and reusable:
@@ -171,12 +189,18 @@
         else:
             connection.close()
 
-    # One attempt.
+    # Attempts.
 
     async def run_attempt(
         self, exchange: RequestExchange, attempt_number: int, server_id: str, timeout: float
     ) -> tuple[AttemptEnd, Response | None]:
-        """Send the request to the server and read its response, for `timeout` seconds at most."""
+        """Send the request to the server and read the response, for `timeout` seconds at most.
+
+        The timeout no longer applies once the response is being relayed.
+
+        Returns:
+            How the attempt ended, and the response if its head has been read.
+        """
         progress = AttemptProgress()
         scope = anyio.CancelScope(deadline=anyio.current_time() + timeout)
         exchange.open_attempts[attempt_number] = scope
@@ -189,7 +213,8 @@
         del exchange.open_attempts[attempt_number]
         if progress.end is not None:
             return progress.end, progress.response
-        if exchange.client_left:  # the scope ended the attempt before the response was complete
+        # The scope was cancelled before the response was complete.
+        if exchange.client_left:
             return AttemptEnd.CLIENT_DISCONNECTED, None
         if progress.write_begun:
             return AttemptEnd.DEADLINE_BEFORE_RESPONSE, None
@@ -203,7 +228,7 @@
         scope: anyio.CancelScope,
         progress: AttemptProgress,
     ) -> None:
-        """Carry the attempt on a connection and note its end in `progress`."""
+        """Send the attempt on a connection, and record in `progress` how it ends."""
         connection = await self.acquire_connection(server_id)
         if isinstance(connection, AttemptEnd):
             progress.end = connection
@@ -234,7 +259,7 @@
                 connection.close()
 
     def request_headers(self, exchange: RequestExchange, server_id: str, timeout: float) -> Headers:
-        """Return the headers that go to the server, with those that frame the body."""
+        """Return the headers of the upstream request, including those that frame the body."""
         headers = [
             pair for pair in self.adapter.upstream_headers(exchange, timeout) if pair[0] != b"content-length"
         ]
@@ -261,7 +286,10 @@
         timeout: float,
         progress: AttemptProgress,
     ) -> None:
-        """Write the request; what follows its buffered part is read from the client meanwhile."""
+        """Write the request.
+
+        The rest of a body that is not buffered whole is read from the client and written as it arrives.
+        """
         head = exchange.head
         connection.parser = ResponseParser(MAX_RESPONSE_HEAD_BYTES, head.method)
         connection.request_written = False
@@ -282,7 +310,7 @@
         connection.request_written = True
 
     async def read_response_head(self, connection: Connection) -> Response | AttemptEnd:
-        """Read the head of the final response; returns how the attempt ended where there is none."""
+        """Read the head of the final response; return the end of the attempt if there is none."""
         while True:
             part = await connection.next_part()
             if part is None:
@@ -300,7 +328,10 @@
         connection: Connection,
         progress: AttemptProgress,
     ) -> AttemptEnd:
-        """Read the response; one that is streamed, or too large to be buffered, is relayed as it comes."""
+        """Read the response and return how the attempt ended.
+
+        A response that is streamed, or too large to be buffered, is relayed as it arrives.
+        """
         response = await self.read_response_head(connection)
         if isinstance(response, AttemptEnd):
             return response
@@ -337,7 +368,17 @@
         response: Response,
         initial_data: bytes,
     ) -> AttemptEnd:
-        """Relay the body to the client as it comes; only a pause that is too long ends it, no deadline."""
+        """Relay the body to the client as it arrives, and return how the attempt ended.
+
+        No deadline applies. A pause of `RELAY_READ_TIMEOUT_SECONDS` ends the response as truncated.
+
+        Args:
+            exchange: The request.
+            attempt_number: Number of the attempt.
+            connection: The connection from which the rest of the body is read.
+            response: Head of the response.
+            initial_data: The part of the body that has been read already.
+        """
         client_body = exchange.begin_response(response, attempt_number)
         with client_body, anyio.CancelScope() as read_timeout_scope:
             data = initial_data
--- a/gullmount/proxy/timers.py
+++ b/gullmount/proxy/timers.py
@@ -1,4 +1,7 @@
-"""Many short timers in one task: most are cancelled before they are due, and a task each would cost more."""
+"""Runs many short timers in one task.
+
+Most timers are cancelled before they are due, and a task for each would cost more.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 
 class Timer:
-    """A callback that is due later."""
+    """A callback that is called later, unless the timer is cancelled."""
 
     __slots__ = ("callback",)
 
@@ -19,29 +22,39 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Never call the callback."""
+        """Prevent the callback from being called."""
         self.callback = None
 
 
 class Timers:
-    """The timers of one instance; `run` is its task."""
+    """The timers of one instance; `run` is the task that calls their callbacks.
+
+    Attributes:
+        wakes_at: Time on `clock` at which the task wakes next; 0 while it is not sleeping.
+        max_delay: Longest delay in seconds with which the task woke, since the last `take_max_delay`.
+    """
 
     def __init__(
         self,
         clock: Callable[[], float],
         wait_until_resumed: Callable[[], Awaitable[None]] = anyio.lowlevel.checkpoint,
     ) -> None:
-        """Make no timers yet; `wait_until_resumed` is awaited before callbacks that are due are called."""
+        """Create an empty set of timers.
+
+        Args:
+            clock: Returns the current time in seconds.
+            wait_until_resumed: Awaited before due callbacks are called.
+        """
         self.clock = clock
         self.wait_until_resumed = wait_until_resumed
         self.pending: list[tuple[float, int, Timer]] = []
         self.sequence = count()
         self.earlier_timer_added = anyio.Event()
-        self.wakes_at = 0.0  # when the task wakes next, on `clock`
-        self.max_delay = 0.0  # seconds that the task woke too late at most
+        self.wakes_at = 0.0
+        self.max_delay = 0.0
 
     def call_after(self, delay: float, callback: Callable[[], None]) -> Timer:
-        """Call `callback` in `delay` seconds, unless the timer is cancelled before."""
+        """Call `callback` in `delay` seconds, unless the returned timer is cancelled before."""
         timer = Timer(callback)
         due_at = self.clock() + max(0.0, delay)
         heappush(self.pending, (due_at, next(self.sequence), timer))
@@ -50,12 +63,12 @@
         return timer
 
     def take_max_delay(self) -> float:
-        """Return by how many seconds a busy event loop was late at most since the last call."""
+        """Return the longest delay in seconds that a busy event loop caused since the last call."""
         longest_delay, self.max_delay = self.max_delay, 0.0
         return longest_delay
 
     async def run(self) -> None:
-        """Call what is due, until cancelled."""
+        """Call the callbacks of due timers, until cancelled."""
         while True:
             await self.wait_until_resumed()
             now = self.clock()
--- a/gullmount/proxy/upstream_pool.py
+++ b/gullmount/proxy/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Which connections to servers are open and idle: what both kinds of upstream share. No I/O."""
+"""Connection pools and connection limits, shared by both upstream implementations. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,24 +9,35 @@
 
 from gullmount.proxy.protocol_adapter import ProtocolAdapter
 
-SWEEP_INTERVAL_SECONDS = 1.0  # an idle connection may stand this much longer than its timeout
-MAX_RESPONSE_HEAD_BYTES = 65536  # twice what common servers send at most
+# An idle connection may stay open this much longer than its timeout.
+SWEEP_INTERVAL_SECONDS = 1.0
+# Twice the maximum that common servers send.
+MAX_RESPONSE_HEAD_BYTES = 65536
 
 
 class PooledConnection(Protocol):
-    """A connection that may stand idle; `idle_since` in seconds of the upstream's clock."""
+    """A connection that a pool can hold while it is idle.
+
+    Attributes:
+        idle_since: Time in seconds of the upstream's clock.
+    """
 
     idle_since: float
 
     def close(self) -> None:
-        """End the connection and what is in flight on it."""
+        """Close the connection and abort the attempt in flight on it."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=PooledConnection)
 
 
 class ServerPool(Generic[ConnectionT]):
-    """The connections to one server: how many are open, and which are idle, the newest last."""
+    """The connections to one server.
+
+    Attributes:
+        idle: The idle connections, the newest last.
+        open_count: Number of connections that are open or being opened, idle ones included.
+    """
 
     __slots__ = ("idle", "open_count")
 
@@ -36,7 +47,13 @@
 
 
 class PooledUpstream(Generic[ConnectionT]):
-    """The connections of one instance to all servers; `clock` gives seconds."""
+    """The connections of one instance to all servers.
+
+    Attributes:
+        clock: Returns the current time in seconds.
+        pools: The pool of each server, by server id.
+        open_connections: Number of connections to all servers that are open or being opened.
+    """
 
     def __init__(self, adapter: ProtocolAdapter, clock: Callable[[], float]) -> None:
         self.adapter = adapter
@@ -46,14 +63,17 @@
         self.open_connections = 0
 
     def pool_for(self, server_id: str) -> ServerPool[ConnectionT]:
-        """Return the server's pool, a new one where it has none."""
+        """Return the pool of the server; create it if there is none."""
         pool = self.pools.get(server_id)
         if pool is None:
             pool = self.pools[server_id] = ServerPool()
         return pool
 
     def reserve_connection(self, pool: ServerPool[ConnectionT]) -> bool:
-        """Count a new connection as open if the limits allow it; an idle one may be closed for it."""
+        """Reserve a new connection if the limits allow it, and return whether they do.
+
+        At the limit for all servers, the connection that has been idle for longest is closed first.
+        """
         if self.open_connections >= self.limits.max_connections:
             self.close_oldest_idle()
         if (
@@ -66,26 +86,27 @@
         return True
 
     def release_reservation(self, pool: ServerPool[ConnectionT]) -> None:
-        """A connection has closed, or was not opened."""
+        """Release the reservation of a connection that has closed or could not be opened."""
         pool.open_count -= 1
         self.open_connections -= 1
 
     def close_idle(self, pool: ServerPool[ConnectionT], connection: ConnectionT) -> None:
-        """Close one of the pool's idle connections."""
+        """Close an idle connection and remove it from its pool."""
         pool.idle.remove(connection)
         connection.close()
 
     def close_oldest_idle(self) -> None:
-        """Close the connection that has been idle for longest, if there is one."""
+        """Close the connection that has been idle for longest, if any is idle."""
         idle = [(connection, pool) for pool in self.pools.values() for connection in pool.idle]
         if idle:
             connection, pool = min(idle, key=lambda entry: entry[0].idle_since)
             self.close_idle(pool, connection)
 
     def remove_server(self, server_id: str) -> None:
-        """Stop using the server's connections: it drains, is gone, or its address has another process.
+        """Drop the server's pool and close its idle connections.
 
-        Attempts in flight go on until their end.
+        Called when the server drains, is gone, or another process has its address. Attempts in flight
+        continue until they end.
         """
         pool = self.pools.pop(server_id, None)
         if pool is not None:
@@ -93,7 +114,7 @@
                 self.close_idle(pool, connection)
 
     async def sweep(self) -> None:
-        """Close connections idle past the timeout and drop empty pools, until cancelled."""
+        """Close connections past the idle timeout and drop empty pools periodically, until cancelled."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL_SECONDS)
             idle_cutoff = self.clock() - self.limits.idle_timeout
