--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -1,10 +1,15 @@
-"""Compare the proxy with a bare pass-through and with no proxy at all, in turn on the same cores.
+"""Compare the proxy with a pass-through proxy without decisions ("bare") and with no proxy.
+
+Each is measured in turn on the same cores.
 
     .venv/bin/python benchmarks/edge.py [--seconds 4] [--rounds 3]
 
-Prints, as medians over the rounds: requests a second on one core and the ratio round by round, latencies at
-half of what the slower proxy carries, processor time a request, the part of it spent in the decisions, and
-memory an open request.
+Prints the median over the rounds, with minimum and maximum, of:
+
+- requests per second on one core, and the ratio of proxy to pass-through in each round
+- latencies at half the rate of the slower of the two
+- processor time per request, and the share of it spent in routing decisions
+- memory per open request, measured once
 """
 
 from __future__ import annotations
@@ -33,22 +38,34 @@
 OPEN_REQUEST_COUNT = 2000
 KEY_COUNT = 5000
 WARM_UP_SECONDS = 0.5
-RAMP_UP_SHARE = 0.25  # of the measured time, before it
-DROPPED_LATENCY_DIVISOR = 5  # one in so many latencies, the first ones, does not count
+# Load is applied for this share of the measured time before the measurement starts.
+RAMP_UP_SHARE = 0.25
+# The first 1/5 of the latencies is dropped.
+DROPPED_LATENCY_DIVISOR = 5
 SEND_INTERVAL_SECONDS = 0.0005
-SETTLE_SECONDS = 0.2  # for the last responses
-OPEN_SETTLE_SECONDS = 1.5  # until open requests are in memory
+# Time for the last responses to arrive.
+SETTLE_SECONDS = 0.2
+# Time until the open requests are in the memory of the proxy.
+OPEN_SETTLE_SECONDS = 1.5
 MAX_START_ATTEMPTS, START_INTERVAL_SECONDS = 100, 0.1
-RESPONSE_BODY = b"a" * 64  # of every response
+# Body of every response.
+RESPONSE_BODY = b"a" * 64
 BENCHMARK_FOLDER = Path(__file__).parent
 REQUEST = b"GET /look HTTP/1.1\r\nhost: x\r\nx-key: k%d\r\n\r\n"
 UNANSWERED_REQUEST = b"GET /hold HTTP/1.1\r\nhost: x\r\n\r\n"
 
-ResponseCallback = Callable[["Client", float], None]  # with seconds of latency
+# Arguments: the client, the latency in seconds.
+ResponseCallback = Callable[["Client", float], None]
 
 
 def start_process(arguments: list[str], core: int, wait_for_line: bool = False) -> subprocess.Popen[str]:
-    """Start a Python process on one core."""
+    """Start a Python process on one core.
+
+    Args:
+        arguments: The script and its arguments.
+        core: Number of the core.
+        wait_for_line: Whether to wait until the process has printed a line.
+    """
     process = subprocess.Popen([sys.executable, *arguments], stdout=subprocess.PIPE, text=True)
     os.sched_setaffinity(process.pid, {core})
     if wait_for_line:
@@ -58,7 +75,7 @@
 
 
 class Client(asyncio.Protocol):
-    """One connection, which sends one request at a time."""
+    """One client connection with at most one request in flight."""
 
     def __init__(self, on_response: ResponseCallback) -> None:
         self.on_response = on_response
@@ -67,7 +84,7 @@
         self.request_count = 0
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Keep the connection."""
+        """Store the transport."""
         self.transport = transport
 
     def send(self) -> None:
@@ -77,7 +94,7 @@
         self.transport.write(REQUEST % (self.request_count % KEY_COUNT))
 
     def data_received(self, data: bytes) -> None:
-        """Call back once the response is complete."""
+        """Call `on_response` once the response is complete."""
         self.received += data
         if len(self.received) >= len(RESPONSE_BODY) and self.received.endswith(RESPONSE_BODY):
             self.received = b""
@@ -85,7 +102,7 @@
 
 
 async def connect(port: int, on_response: ResponseCallback, client_count: int) -> list[Client]:
-    """Return so many connected clients, once the port accepts connections."""
+    """Wait until the port accepts connections, then return `client_count` connected clients."""
     loop = asyncio.get_running_loop()
     for _ in range(MAX_START_ATTEMPTS):
         try:
@@ -100,7 +117,10 @@
 
 
 async def requests_per_second(port: int, seconds: float) -> float:
-    """Return the rate of responses with all connections in a closed loop."""
+    """Return the rate of responses under a closed loop.
+
+    Each connection sends its next request as soon as it has received a response.
+    """
     response_count = 0
 
     def send_next(client: Client, _latency: float) -> None:
@@ -121,7 +141,7 @@
 
 
 async def latencies_at(port: int, rate: float, seconds: float) -> list[float]:
-    """Return sorted latencies with requests at a fixed rate over idle connections."""
+    """Return the sorted latencies in seconds of requests sent at a fixed rate over idle connections."""
     latencies: list[float] = []
     idle: list[Client] = []
 
@@ -145,7 +165,7 @@
 
 
 async def bytes_per_open_request(port: int, pid: int) -> float:
-    """Return the memory of a request that waits for its response."""
+    """Return the resident memory that a request occupies while it waits for its response."""
     loop = asyncio.get_running_loop()
     bytes_before = process_usage(pid).resident_bytes
     transports = []
@@ -181,7 +201,7 @@
 
 
 def decision_and_processor_seconds(process: subprocess.Popen[str]) -> tuple[float, float]:
-    """Return what the timed proxy has spent in the decisions, and in all."""
+    """Return the timed proxy's processor seconds spent in routing decisions, and in total."""
     process.send_signal(signal.SIGUSR1)
     assert process.stdout is not None
     report = json.loads(process.stdout.readline())
@@ -191,7 +211,7 @@
 def measure_round(
     seconds: float, passthrough: subprocess.Popen[str], proxy: subprocess.Popen[str]
 ) -> dict[str, float]:
-    """Return the figures of one round by their names."""
+    """Measure one round and return its figures by name."""
     loaded_seconds = seconds * (1 + RAMP_UP_SHARE)
     no_proxy_rate = asyncio.run(requests_per_second(FIRST_SERVER_PORT, seconds))
     passthrough_before = process_usage(passthrough.pid).processor_seconds
--- a/tests/proxy/test_backoff.py
+++ b/tests/proxy/test_backoff.py
@@ -1,4 +1,4 @@
-"""The waits between tries of a watch that breaks."""
+"""Tests the delays before a failed watch is reopened."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_buffered_upstream.py
+++ b/tests/proxy/test_buffered_upstream.py
@@ -1,4 +1,4 @@
-"""Connections to boxes: what comes on them between an answer and the next req, and while one comes up."""
+"""Tests events on connections to servers: between a response and the next request, and while connecting."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 
 def disable_reuse_delay(running_harness: ProxyHarness) -> None:
-    """A connection may be taken up in the same turn: for what lies there by then."""
+    """Let a connection be reused in the same loop iteration, with what is unread on it by then."""
     running_harness.runtime.upstream.limits = replace(
         running_harness.runtime.upstream.limits, reuse_delay=0.0
     )
 
 
 async def serve_first_request(running_harness: ProxyHarness) -> tuple[socket.socket, socket.socket]:
-    """A client's connection and the box's, one req served on both."""
+    """Return the sockets of the client and the server, after one request was served on both."""
     client_socket = client(request_bytes("a1"))
     server_socket = await accept(running_harness.server_listener)
     await receive_message(server_socket)
@@ -59,7 +59,7 @@
 def test_late_bytes_after_a_response_are_not_taken_as_the_next_response(
     tmp_path: Path, extra_bytes: bytes
 ) -> None:
-    """The box's second copy is still on its way as the next req comes."""
+    """The server's extra bytes, such as a second response, are in transit when the next request arrives."""
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
@@ -71,9 +71,8 @@
             assert b"request-id: a2" in await receive_message(new_server_socket)
             new_server_socket.sendall(OK)
             assert (await receive_message(client_socket)).endswith(b"\r\n\r\nok")
-            await wait_until(
-                lambda: harness.runtime.upstream.open_connections == 1
-            )  # the spoilt one was closed
+            # The connection with the late bytes was closed.
+            await wait_until(lambda: harness.runtime.upstream.open_connections == 1)
 
     run_scenario(scenario)
 
@@ -86,7 +85,7 @@
 def test_idle_connection_with_unread_bytes_or_end_is_not_reused(
     tmp_path: Path, server_event: Callable[[socket.socket], None], first_actor: str
 ) -> None:
-    """A req that may run once goes out on another connection and is served: nothing was written here."""
+    """An at-most-once request is served over another connection, as nothing was written to the idle one."""
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
@@ -137,14 +136,13 @@
 def test_response_truncated_at_any_byte_yields_one_502(
     tmp_path: Path, full_response: bytes, end_connection: Callable[[socket.socket], None]
 ) -> None:
-    """After each of its bytes but the last; the req goes out once and ends in one error."""
+    """The response ends after each of its bytes but the last; the request is sent once and fails once."""
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
             for sent_byte_count in range(1, len(full_response)):
-                harness.runtime.router.endpoints.servers[
-                    "s-1"
-                ].ejection.ejected_until = 0.0  # its failures are not what is tried here
+                # Undo an ejection caused by the failures of earlier rounds; ejection is not tested here.
+                harness.runtime.router.endpoints.servers["s-1"].ejection.ejected_until = 0.0
                 client_socket = client(request_bytes(f"a{sent_byte_count}", AT_MOST_ONCE_ROUTE, body=b"x"))
                 server_socket = await accept(harness.server_listener)
                 await receive_message(server_socket)
@@ -170,8 +168,10 @@
 
 
 def assign_key_to_candidate(harness: ProxyHarness) -> None:
-    """Box `s-1` is of the trial's build, `s-2` of the earlier one; the trial is in its closed stage and holds
-    the key that all reqs here name."""
+    """Assign the affinity key of all requests here to the candidate, which is in its closed stage.
+
+    Server `s-1` runs the candidate's build, `s-2` the baseline.
+    """
     harness.apply_endpoint_page(member(1, build=43), member(2, build=41), complete=True)
     harness.runtime.router.update_release(43, 0, ReleasePhase.CANDIDATE, 0.35)
     harness.runtime.router.traffic_split.update = lambda now: None
@@ -183,8 +183,10 @@
 def test_one_way_key_stays_with_the_candidate_after_a_truncated_response(
     tmp_path: Path, end_connection: Callable[[socket.socket], None], sent_byte_count: int
 ) -> None:
-    """Guards against what the users' page calls one way: the new build has answered the key, though no whole
-    answer came. What a later req of the key may not have there is shed."""
+    """Guards the one-way rule: the candidate has begun a response for the key, though an incomplete one.
+
+    A later request for the key that the candidate may not get is rejected.
+    """
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path, server_count=2, settings=one_way_settings()) as harness:
@@ -206,7 +208,7 @@
 
 
 def test_one_way_key_stays_with_the_candidate_while_its_request_is_in_flight(tmp_path: Path) -> None:
-    """The first one's answer may be there before the second would arrive at the earlier build."""
+    """The first response could arrive before the baseline would receive the second request."""
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path, server_count=2, settings=one_way_settings()) as harness:
@@ -244,7 +246,7 @@
 
 
 def end_deduplication_window(running_harness: ProxyHarness) -> None:
-    """The time in which the boxes know a repeat ends."""
+    """End the time in which the servers recognise a repeated request."""
     (exchange,) = running_harness.runtime.exchanges.values()
     exchange.request.deduplication_group, exchange.request.deduplicated_until = (
         ("a", 0),
@@ -266,7 +268,7 @@
 def test_server_withdrawn_while_connecting_receives_no_request(
     tmp_path: Path, change: Callable[[ProxyHarness], None]
 ) -> None:
-    """Nothing was written yet: the req is served by the other box, also where it may run only once."""
+    """Nothing was written yet, so the other server gets even an at-most-once request."""
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
@@ -299,7 +301,10 @@
 def test_attempt_disallowed_while_connecting_is_not_sent(
     tmp_path: Path, change: Callable[[ProxyHarness], None], semantics: str
 ) -> None:
-    """A cap that fell, or a time for repeats that ended, meanwhile. No byte of the req reaches the box."""
+    """An exposure cap is lowered or a deduplication window ends meanwhile.
+
+    No byte of the request reaches the server.
+    """
     settings: dict[str, Any] = deepcopy(SETTINGS)
     settings["Grades"][0]["Semantics"] = semantics
 
@@ -313,9 +318,8 @@
             harness.net.connects_allowed.set()
             assert (await receive_message(client_socket)).startswith(b"HTTP/1.1 50")
             server_socket = await accept(harness.server_listener)
-            assert (
-                not is_readable(server_socket) and len(harness.runtime.upstream.pools["s-1"].idle) == 1
-            )  # kept for others
+            # The unused connection stays open for other attempts.
+            assert not is_readable(server_socket) and len(harness.runtime.upstream.pools["s-1"].idle) == 1
 
     run_scenario(scenario)
 
@@ -328,7 +332,10 @@
 def test_connection_with_data_or_end_before_the_request_is_not_used(
     tmp_path: Path, server_action: Callable[[socket.socket], None], event_observed_early: bool
 ) -> None:
-    """Before the task that opened it goes on, or in the same turn. The req never goes out on it."""
+    """The server sends data or ends the connection before the connecting task resumes, or as it resumes.
+
+    The request is never sent on that connection.
+    """
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path, server_count=2) as harness:
@@ -344,7 +351,8 @@
             )
             server_socket = await accept(first_listener)
             server_action(server_socket)
-            if event_observed_early:  # by the link, or by the attempt to connect, which then has gone on
+            # Observed by the connection, or by the connecting attempt, which ends and is followed by another.
+            if event_observed_early:
                 (exchange,) = harness.runtime.exchanges.values()
                 await wait_until(
                     lambda: not harness.runtime.upstream.open_connections or exchange.attempt_count > 1
@@ -356,13 +364,17 @@
             assert (await receive_message(client_socket)).endswith(b"\r\n\r\nok")
             assert harness.runtime.upstream.open_connections == 1
             if server_socket.fileno() >= 0:
-                assert b"a1" not in await receive_rest(server_socket)  # ended, not left open
+                # The proxy has closed the connection.
+                assert b"a1" not in await receive_rest(server_socket)
 
     run_scenario(scenario)
 
 
 def test_connection_opened_too_late_counts_as_idle_since_connecting_began(tmp_path: Path) -> None:
-    """The box may count from the first packet: what waited long for it is not used up to the very end."""
+    """The server may count its idle timeout from the first packet.
+
+    A connection that took long to open must not be used until the very end of that timeout.
+    """
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
@@ -373,9 +385,8 @@
             client_socket.close()
             await wait_until(lambda: not harness.runtime.exchanges)
             harness.net.connects_allowed.set()
-            server_socket = await accept(
-                harness.server_listener
-            )  # held: it would end with its last reference
+            # Keep a reference to the socket: it would be closed with the last one.
+            server_socket = await accept(harness.server_listener)
             await wait_until(lambda: harness.runtime.upstream.pools["s-1"].idle)
             assert (
                 not is_readable(server_socket)
@@ -400,7 +411,7 @@
 
 
 def test_late_response_to_an_expired_attempt_is_dropped(tmp_path: Path) -> None:
-    """The answer arrives in the same turn in which the try's time ends."""
+    """The response arrives in the same loop iteration in which the attempt expires."""
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path, server_count=2) as harness:
@@ -429,7 +440,7 @@
 
 
 def test_response_and_client_disconnect_in_one_loop_iteration_end_the_request_once(tmp_path: Path) -> None:
-    """Whichever is heard first, the req ends once and nothing is left of it."""
+    """Whichever is read first, the request ends once and leaves no state behind."""
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
@@ -450,8 +461,10 @@
 
 
 def test_client_retry_is_served_and_a_repeated_request_id_is_refused(tmp_path: Path) -> None:
-    """The client gave up, and asks again by another id in the turn in which the answer comes: one answer
-    each, and a req that names the first try's id is refused."""
+    """The client gives up and retries with a new id in the loop iteration in which the response arrives.
+
+    Each request gets one response, and a request that repeats the first id is refused.
+    """
 
     async def scenario() -> None:
         async with proxy_harness(tmp_path) as harness:
@@ -476,11 +489,11 @@
 
 
 def test_instances_with_different_settings_in_one_process_share_nothing(tmp_path: Path) -> None:
-    """One after the other: bounds, routes and times are those of its own settings."""
+    """Instances run one after the other; each has the limits, routes and timeouts of its own settings."""
     other_settings: dict[str, Any] = deepcopy(SETTINGS)
     other_settings["Grades"] = [{**other_settings["Grades"][0], "Name": "find-fare", "DeadlineUs": 700_000}]
     other_settings["Ceilings"] |= {"ConnIdleUs": 2_000_000, "ConnectTimeoutUs": 900_000, "RetryAfter": True,
-                          "MaxRetryAfterUs": 400_000}  # fmt: skip
+                                    "MaxRetryAfterUs": 400_000}  # fmt: skip
     loaded_configurations = []
     for settings in (SETTINGS, other_settings, SETTINGS):
         path = tmp_path / "config.json"
@@ -508,7 +521,10 @@
 
 
 def test_end_to_end_headers_and_body_reach_the_server_unchanged(tmp_path: Path) -> None:
-    """Boxes may go by headers that an umpire knows nothing of, such as the mark of a deduped route."""
+    """Servers may use headers unknown to the proxy, such as the mark of a deduplicated route.
+
+    Only hop-by-hop headers are removed.
+    """
     extra_headers = b"Idempotency-Key: k-7\r\nX-Hop: 1\r\nConnection: x-hop, request-id\r\nWork-Hint: 9\r\n"
     sent_request = request_bytes("a1", AT_MOST_ONCE_ROUTE, body=b"x").replace(
         b"Affinity-Key", extra_headers + b"Affinity-Key"
--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -1,4 +1,4 @@
-"""Limits and idle times of the connections to servers, with connections that do nothing."""
+"""Tests connection limits and idle timeouts of the upstream pools, with fake connections."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FakeConnection:
-    """Counts itself as closed as soon as it is closed."""
+    """A connection without a socket; its reservation is released as soon as it is closed."""
 
     def __init__(self, upstream: PooledUpstream[FakeConnection], pool: ServerPool[FakeConnection]) -> None:
         self.upstream, self.pool = upstream, pool
@@ -39,7 +39,7 @@
 
 
 class PooledUpstreamHarness:
-    """An upstream whose clock stands still until `now` is set."""
+    """An upstream whose clock returns `now`, which only the test changes."""
 
     def __init__(self) -> None:
         self.now = 100.0
