--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -46,7 +46,7 @@
 # Time for the last responses to arrive.
 SETTLE_SECONDS = 0.2
 # Time until the open requests are in the memory of the proxy.
-OPEN_SETTLE_SECONDS = 1.5
+OPEN_REQUEST_SETTLE_SECONDS = 1.5
 MAX_START_ATTEMPTS, START_INTERVAL_SECONDS = 100, 0.1
 # Body of every response.
 RESPONSE_BODY = b"a" * 64
@@ -132,9 +132,9 @@
     for client in clients:
         client.send()
     await asyncio.sleep(seconds * RAMP_UP_SHARE)
-    started, response_count = time.perf_counter(), 0
+    started_at, response_count = time.perf_counter(), 0
     await asyncio.sleep(seconds)
-    rate = response_count / (time.perf_counter() - started)
+    rate = response_count / (time.perf_counter() - started_at)
     for client in clients:
         client.transport.abort()
     return rate
@@ -151,12 +151,12 @@
 
     idle += await connect(port, record_latency, CONNECTION_COUNT)
     clients = list(idle)
-    started = time.perf_counter()
-    sent = 0
-    while (elapsed := time.perf_counter() - started) < seconds:
-        while sent < elapsed * rate and idle:
+    started_at = time.perf_counter()
+    sent_count = 0
+    while (elapsed := time.perf_counter() - started_at) < seconds:
+        while sent_count < elapsed * rate and idle:
             idle.pop(0).send()
-            sent += 1
+            sent_count += 1
         await asyncio.sleep(SEND_INTERVAL_SECONDS)
     await asyncio.sleep(SETTLE_SECONDS)
     for client in clients:
@@ -173,7 +173,7 @@
         transport, _ = await loop.create_connection(asyncio.Protocol, HOST, port)
         transport.write(UNANSWERED_REQUEST)
         transports.append(transport)
-    await asyncio.sleep(OPEN_SETTLE_SECONDS)
+    await asyncio.sleep(OPEN_REQUEST_SETTLE_SECONDS)
     bytes_after = process_usage(pid).resident_bytes
     for transport in transports:
         transport.abort()
@@ -214,17 +214,17 @@
     """Measure one round and return its figures by name."""
     loaded_seconds = seconds * (1 + RAMP_UP_SHARE)
     no_proxy_rate = asyncio.run(requests_per_second(FIRST_SERVER_PORT, seconds))
-    passthrough_before = process_usage(passthrough.pid).processor_seconds
+    passthrough_seconds_before = process_usage(passthrough.pid).processor_seconds
     passthrough_rate = asyncio.run(requests_per_second(PASSTHROUGH_PORT, seconds))
-    passthrough_spent = process_usage(passthrough.pid).processor_seconds - passthrough_before
-    decisions_before, proxy_before = decision_and_processor_seconds(proxy)
+    passthrough_seconds = process_usage(passthrough.pid).processor_seconds - passthrough_seconds_before
+    decision_seconds_before, proxy_seconds_before = decision_and_processor_seconds(proxy)
     proxy_rate = asyncio.run(requests_per_second(PROXY_PORT, seconds))
-    decisions_after, proxy_after = decision_and_processor_seconds(proxy)
-    proxy_spent = proxy_after - proxy_before
+    decision_seconds_after, proxy_seconds_after = decision_and_processor_seconds(proxy)
+    proxy_seconds = proxy_seconds_after - proxy_seconds_before
     figures = {
-        "bare cpu us": passthrough_spent / (passthrough_rate * loaded_seconds) * 1e6,
-        "proxy cpu us": proxy_spent / (proxy_rate * loaded_seconds) * 1e6,
-        "decisions' share": (decisions_after - decisions_before) / proxy_spent,
+        "bare cpu us": passthrough_seconds / (passthrough_rate * loaded_seconds) * 1e6,
+        "proxy cpu us": proxy_seconds / (proxy_rate * loaded_seconds) * 1e6,
+        "decisions' share": (decision_seconds_after - decision_seconds_before) / proxy_seconds,
         "no proxy requests/s": no_proxy_rate,
         "bare requests/s": passthrough_rate,
         "proxy requests/s": proxy_rate,
