--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -1,10 +1,15 @@
-"""Compare the proxy with a bare pass-through and with no proxy at all, in turn on the same cores.
+"""Compare the proxy with a pass-through proxy without decisions ("bare") and with no proxy.
+
+Each is measured in turn on the same cores.
 
     .venv/bin/python benchmarks/edge.py [--seconds 4] [--rounds 3]
 
-Prints, as medians over the rounds: requests a second on one core and the ratio round by round, latencies at
-half of what the slower proxy carries, processor time a request, the part of it spent in the decisions, and
-memory an open request.
+Prints the median over the rounds, with minimum and maximum, of:
+
+- requests per second on one core, and the ratio of proxy to pass-through in each round
+- latencies at half the rate of the slower of the two
+- processor time per request, and the share of it spent in routing decisions
+- memory per open request, measured once
 """
 
 from __future__ import annotations
@@ -26,29 +31,41 @@
 from gullmount.scale.process_usage import process_usage
 
 HOST = "127.93.0.1"
-FIRST_SERVER_PORT, PROXY_PORT, BARE_PORT = 9001, 8000, 8100
+FIRST_SERVER_PORT, PROXY_PORT, PASSTHROUGH_PORT = 9001, 8000, 8100
 DISCOVERY_PORT, RELEASE_CONTROLLER_PORT = 7001, 7002
-SERVERS = 8
-CONNECTIONS = 32
-OPEN_REQUESTS = 2000
-KEYS = 5000
+SERVER_COUNT = 8
+CONNECTION_COUNT = 32
+OPEN_REQUEST_COUNT = 2000
+KEY_COUNT = 5000
 WARM_UP_SECONDS = 0.5
-RAMP_SHARE = 0.25  # of the measured time, before it
-DROPPED_SHARE = 5  # one in so many latencies, the first ones, does not count
+# Load is applied for this share of the measured time before the measurement starts.
+RAMP_UP_SHARE = 0.25
+# The first 1/5 of the latencies is dropped.
+DROPPED_LATENCY_DIVISOR = 5
 SEND_INTERVAL_SECONDS = 0.0005
-SETTLE_SECONDS = 0.2  # for the last responses
-OPEN_SETTLE_SECONDS = 1.5  # until open requests are in memory
-START_ATTEMPTS, START_INTERVAL_SECONDS = 100, 0.1
-BODY = b"a" * 64  # of every response
-FOLDER = Path(__file__).parent
+# Time for the last responses to arrive.
+SETTLE_SECONDS = 0.2
+# Time until the open requests are in the memory of the proxy.
+OPEN_REQUEST_SETTLE_SECONDS = 1.5
+MAX_START_ATTEMPTS, START_INTERVAL_SECONDS = 100, 0.1
+# Body of every response.
+RESPONSE_BODY = b"a" * 64
+BENCHMARK_FOLDER = Path(__file__).parent
 REQUEST = b"GET /look HTTP/1.1\r\nhost: x\r\nx-key: k%d\r\n\r\n"
 UNANSWERED_REQUEST = b"GET /hold HTTP/1.1\r\nhost: x\r\n\r\n"
 
-ResponseCallback = Callable[["Client", float], None]  # with seconds of latency
+# Arguments: the client, the latency in seconds.
+ResponseCallback = Callable[["Client", float], None]
 
 
 def start_process(arguments: list[str], core: int, wait_for_line: bool = False) -> subprocess.Popen[str]:
-    """Start a Python process on one core."""
+    """Start a Python process on one core.
+
+    Args:
+        arguments: The script and its arguments.
+        core: Number of the core.
+        wait_for_line: Whether to wait until the process has printed a line.
+    """
     process = subprocess.Popen([sys.executable, *arguments], stdout=subprocess.PIPE, text=True)
     os.sched_setaffinity(process.pid, {core})
     if wait_for_line:
@@ -58,103 +75,109 @@
 
 
 class Client(asyncio.Protocol):
-    """One connection, which sends one request at a time."""
+    """One client connection with at most one request in flight."""
 
     def __init__(self, on_response: ResponseCallback) -> None:
         self.on_response = on_response
         self.received = b""
         self.sent_at = 0.0
-        self.count = 0
+        self.request_count = 0
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Keep the connection."""
+        """Store the transport."""
         self.transport = transport
 
     def send(self) -> None:
         """Send the next request."""
-        self.count += 1
+        self.request_count += 1
         self.sent_at = time.perf_counter()
-        self.transport.write(REQUEST % (self.count % KEYS))
+        self.transport.write(REQUEST % (self.request_count % KEY_COUNT))
 
     def data_received(self, data: bytes) -> None:
-        """Call back once the response is complete."""
+        """Call `on_response` once the response is complete."""
         self.received += data
-        if len(self.received) >= len(BODY) and self.received.endswith(BODY):
+        if len(self.received) >= len(RESPONSE_BODY) and self.received.endswith(RESPONSE_BODY):
             self.received = b""
             self.on_response(self, time.perf_counter() - self.sent_at)
 
 
-async def connect(port: int, on_response: ResponseCallback, count: int) -> list[Client]:
-    """Return so many connected clients, once the port accepts connections."""
+async def connect(port: int, on_response: ResponseCallback, client_count: int) -> list[Client]:
+    """Wait until the port accepts connections, then return `client_count` connected clients."""
     loop = asyncio.get_running_loop()
-    for _ in range(START_ATTEMPTS):
+    for _ in range(MAX_START_ATTEMPTS):
         try:
             (await loop.create_connection(asyncio.Protocol, HOST, port))[0].close()
             break
         except OSError:
             await asyncio.sleep(START_INTERVAL_SECONDS)
-    return [(await loop.create_connection(lambda: Client(on_response), HOST, port))[1] for _ in range(count)]
+    return [
+        (await loop.create_connection(lambda: Client(on_response), HOST, port))[1]
+        for _ in range(client_count)
+    ]
 
 
 async def requests_per_second(port: int, seconds: float) -> float:
-    """Return the rate of responses with all connections in a closed loop."""
-    count = 0
+    """Return the rate of responses under a closed loop.
+
+    Each connection sends its next request as soon as it has received a response.
+    """
+    response_count = 0
 
     def send_next(client: Client, _latency: float) -> None:
-        nonlocal count
-        count += 1
+        nonlocal response_count
+        response_count += 1
         client.send()
 
-    clients = await connect(port, send_next, CONNECTIONS)
+    clients = await connect(port, send_next, CONNECTION_COUNT)
     for client in clients:
         client.send()
-    await asyncio.sleep(seconds * RAMP_SHARE)
-    started, count = time.perf_counter(), 0
+    await asyncio.sleep(seconds * RAMP_UP_SHARE)
+    started_at, response_count = time.perf_counter(), 0
     await asyncio.sleep(seconds)
-    rate = count / (time.perf_counter() - started)
+    rate = response_count / (time.perf_counter() - started_at)
     for client in clients:
         client.transport.abort()
     return rate
 
 
 async def latencies_at(port: int, rate: float, seconds: float) -> list[float]:
-    """Return sorted latencies with requests at a fixed rate over idle connections."""
+    """Return the sorted latencies in seconds of requests sent at a fixed rate over idle connections."""
     latencies: list[float] = []
     idle: list[Client] = []
 
-    def note(client: Client, latency: float) -> None:
+    def record_latency(client: Client, latency: float) -> None:
         latencies.append(latency)
         idle.append(client)
 
-    idle += await connect(port, note, CONNECTIONS)
+    idle += await connect(port, record_latency, CONNECTION_COUNT)
     clients = list(idle)
-    started = time.perf_counter()
-    sent = 0
-    while (elapsed := time.perf_counter() - started) < seconds:
-        while sent < elapsed * rate and idle:
+    started_at = time.perf_counter()
+    sent_count = 0
+    while (elapsed := time.perf_counter() - started_at) < seconds:
+        while sent_count < elapsed * rate and idle:
             idle.pop(0).send()
-            sent += 1
+            sent_count += 1
         await asyncio.sleep(SEND_INTERVAL_SECONDS)
     await asyncio.sleep(SETTLE_SECONDS)
     for client in clients:
         client.transport.abort()
-    return sorted(latencies[len(latencies) // DROPPED_SHARE :])
+    return sorted(latencies[len(latencies) // DROPPED_LATENCY_DIVISOR :])
 
 
 async def bytes_per_open_request(port: int, pid: int) -> float:
-    """Return the memory of a request that waits for its response."""
+    """Return the resident memory that a request occupies while it waits for its response."""
     loop = asyncio.get_running_loop()
-    before = process_usage(pid).resident_bytes
+    bytes_before = process_usage(pid).resident_bytes
     transports = []
-    for _ in range(OPEN_REQUESTS):
+    for _ in range(OPEN_REQUEST_COUNT):
         transport, _ = await loop.create_connection(asyncio.Protocol, HOST, port)
         transport.write(UNANSWERED_REQUEST)
         transports.append(transport)
-    await asyncio.sleep(OPEN_SETTLE_SECONDS)
-    after = process_usage(pid).resident_bytes
+    await asyncio.sleep(OPEN_REQUEST_SETTLE_SECONDS)
+    bytes_after = process_usage(pid).resident_bytes
     for transport in transports:
         transport.abort()
-    return (after - before) / OPEN_REQUESTS
+    return (bytes_after - bytes_before) / OPEN_REQUEST_COUNT
 
 
 def write_proxy_configuration(folder: Path) -> str:
@@ -178,7 +201,7 @@
 
 
 def decision_and_processor_seconds(process: subprocess.Popen[str]) -> tuple[float, float]:
-    """Return what the timed proxy has spent in the decisions, and in all."""
+    """Return the timed proxy's processor seconds spent in routing decisions, and in total."""
     process.send_signal(signal.SIGUSR1)
     assert process.stdout is not None
     report = json.loads(process.stdout.readline())
@@ -186,30 +209,30 @@
 
 
 def measure_round(
-    seconds: float, bare: subprocess.Popen[str], proxy: subprocess.Popen[str]
+    seconds: float, passthrough: subprocess.Popen[str], proxy: subprocess.Popen[str]
 ) -> dict[str, float]:
-    """Return the figures of one round by their names."""
-    loaded_seconds = seconds * (1 + RAMP_SHARE)
+    """Measure one round and return its figures by name."""
+    loaded_seconds = seconds * (1 + RAMP_UP_SHARE)
     no_proxy_rate = asyncio.run(requests_per_second(FIRST_SERVER_PORT, seconds))
-    bare_before = process_usage(bare.pid).processor_seconds
-    bare_rate = asyncio.run(requests_per_second(BARE_PORT, seconds))
-    bare_spent = process_usage(bare.pid).processor_seconds - bare_before
-    decisions_before, proxy_before = decision_and_processor_seconds(proxy)
+    passthrough_seconds_before = process_usage(passthrough.pid).processor_seconds
+    passthrough_rate = asyncio.run(requests_per_second(PASSTHROUGH_PORT, seconds))
+    passthrough_seconds = process_usage(passthrough.pid).processor_seconds - passthrough_seconds_before
+    decision_seconds_before, proxy_seconds_before = decision_and_processor_seconds(proxy)
     proxy_rate = asyncio.run(requests_per_second(PROXY_PORT, seconds))
-    decisions_after, proxy_after = decision_and_processor_seconds(proxy)
-    proxy_spent = proxy_after - proxy_before
+    decision_seconds_after, proxy_seconds_after = decision_and_processor_seconds(proxy)
+    proxy_seconds = proxy_seconds_after - proxy_seconds_before
     figures = {
-        "bare cpu us": bare_spent / (bare_rate * loaded_seconds) * 1e6,
-        "proxy cpu us": proxy_spent / (proxy_rate * loaded_seconds) * 1e6,
-        "decisions' share": (decisions_after - decisions_before) / proxy_spent,
+        "bare cpu us": passthrough_seconds / (passthrough_rate * loaded_seconds) * 1e6,
+        "proxy cpu us": proxy_seconds / (proxy_rate * loaded_seconds) * 1e6,
+        "decisions' share": (decision_seconds_after - decision_seconds_before) / proxy_seconds,
         "no proxy requests/s": no_proxy_rate,
-        "bare requests/s": bare_rate,
+        "bare requests/s": passthrough_rate,
         "proxy requests/s": proxy_rate,
-        "ratio proxy to bare": proxy_rate / bare_rate,
+        "ratio proxy to bare": proxy_rate / passthrough_rate,
     }
-    half = min(bare_rate, proxy_rate) / 2
-    for name, port in (("no proxy", FIRST_SERVER_PORT), ("bare", BARE_PORT), ("proxy", PROXY_PORT)):
-        latencies = asyncio.run(latencies_at(port, half, seconds))
+    half_rate = min(passthrough_rate, proxy_rate) / 2
+    for name, port in (("no proxy", FIRST_SERVER_PORT), ("bare", PASSTHROUGH_PORT), ("proxy", PROXY_PORT)):
+        latencies = asyncio.run(latencies_at(port, half_rate, seconds))
         figures[f"{name} p50 ms"] = latencies[len(latencies) // 2] * 1000
         figures[f"{name} p99 ms"] = latencies[len(latencies) * 99 // 100] * 1000
     return figures
@@ -227,18 +250,25 @@
     with tempfile.TemporaryDirectory() as folder:
         try:
             os.sched_setaffinity(0, {client_core})
-            servers = [str(FOLDER / "fixed_servers.py"), HOST, str(SERVERS)]
-            processes.append(start_process(servers, server_core, wait_for_line=True))
-            addresses = [f"{HOST}:{FIRST_SERVER_PORT + number}" for number in range(SERVERS)]
-            passthrough = [str(FOLDER / "passthrough.py"), f"{HOST}:{BARE_PORT}", *addresses]
-            processes.append(bare := start_process(passthrough, proxy_core))
-            timed_proxy = [str(FOLDER / "timed_proxy.py"), write_proxy_configuration(Path(folder))]
-            processes.append(proxy := start_process(timed_proxy, proxy_core))
-            asyncio.run(requests_per_second(BARE_PORT, WARM_UP_SECONDS))
+            server_arguments = [str(BENCHMARK_FOLDER / "fixed_servers.py"), HOST, str(SERVER_COUNT)]
+            processes.append(start_process(server_arguments, server_core, wait_for_line=True))
+            addresses = [f"{HOST}:{FIRST_SERVER_PORT + number}" for number in range(SERVER_COUNT)]
+            passthrough_arguments = [
+                str(BENCHMARK_FOLDER / "passthrough.py"),
+                f"{HOST}:{PASSTHROUGH_PORT}",
+                *addresses,
+            ]
+            processes.append(passthrough := start_process(passthrough_arguments, proxy_core))
+            proxy_arguments = [
+                str(BENCHMARK_FOLDER / "timed_proxy.py"),
+                write_proxy_configuration(Path(folder)),
+            ]
+            processes.append(proxy := start_process(proxy_arguments, proxy_core))
+            asyncio.run(requests_per_second(PASSTHROUGH_PORT, WARM_UP_SECONDS))
             asyncio.run(requests_per_second(PROXY_PORT, WARM_UP_SECONDS))
             for number in range(arguments.rounds):
                 print(f"round {number + 1} of {arguments.rounds}", file=sys.stderr)
-                for figure, value in measure_round(arguments.seconds, bare, proxy).items():
+                for figure, value in measure_round(arguments.seconds, passthrough, proxy).items():
                     values_by_figure[figure].append(value)
             open_bytes = asyncio.run(bytes_per_open_request(PROXY_PORT, proxy.pid))
             values_by_figure["bytes an open request"].append(open_bytes)
