--- a/gullmount/decisions/admission.py
+++ b/gullmount/decisions/admission.py
@@ -5,7 +5,7 @@
 from gullmount.decisions.model import RejectionReason
 from gullmount.decisions.requests import Request
 
-NEEDED_SHARE_OF_LATENCY = 0.6  # of the expected one that must be left: work for less is mostly wasted
+MIN_TIME_LEFT_FACTOR = 0.6  # of the expected one that must be left: work for less is mostly wasted
 RETRY_AFTER_SECONDS = 0.25  # about what an overload of one latency objective needs to pass
 
 
@@ -15,7 +15,7 @@
     Clients that leave early, overloads and late requests would otherwise cost work that nobody waits for.
     """
     objective = request.route.latency_objective
-    return request.deadline - now > NEEDED_SHARE_OF_LATENCY * expected_latency * objective
+    return request.deadline - now > MIN_TIME_LEFT_FACTOR * expected_latency * objective
 
 
 def retry_after(max_retry_after: float) -> float:
@@ -24,18 +24,23 @@
 
 
 def rejection_reason(
-    request: Request, *, stale: bool, in_time: bool, max_attempts: int, budget_spent: bool
+    request: Request,
+    *,
+    endpoints_stale: bool,
+    deadline_reachable: bool,
+    max_attempts: int,
+    budget_exhausted: bool,
 ) -> RejectionReason:
     """Return why no attempt is made; for logs and counters alone.
 
-    `stale`: the endpoints are out of date; `in_time`: the deadline could still be met.
+    `endpoints_stale`: the endpoints are out of date; `deadline_reachable`: the deadline could still be met.
     """
-    if stale:
+    if endpoints_stale:
         return RejectionReason.ENDPOINTS_STALE
-    if not in_time:
+    if not deadline_reachable:
         return RejectionReason.DEADLINE_TOO_CLOSE
     if len(request.attempts) >= max_attempts:
         return RejectionReason.ATTEMPTS_EXHAUSTED
-    if request.attempts and budget_spent:
-        return RejectionReason.RETRY_BUDGET_SPENT
+    if request.attempts and budget_exhausted:
+        return RejectionReason.RETRY_BUDGET_EXHAUSTED
     return RejectionReason.NO_ELIGIBLE_SERVER
--- a/gullmount/decisions/affinity.py
+++ b/gullmount/decisions/affinity.py
@@ -9,11 +9,11 @@
 
 from collections.abc import Collection
 
-from gullmount.decisions.model import PROVES_NOT_RUN, Outcome, ReleasePhase
+from gullmount.decisions.model import NOT_EXECUTED_OUTCOMES, Outcome, ReleasePhase
 from gullmount.decisions.releases import Releases
 from gullmount.decisions.requests import Attempt, Request
 
-MAX_REMEMBERED_KEYS = 200_000
+MAX_TRACKED_KEYS = 200_000
 NO_BUILD = -1
 
 
@@ -33,13 +33,17 @@
         if request.key is None:
             return NO_BUILD
         position = request.hash_position
-        overflowed = [
+        overflow_builds = [
             candidate.build
             for candidate in self.releases.candidates
             if candidate.affinity_overflowed and candidate.ever_contained(position)
         ]
         return max(
-            [self.last_build_by_key.get(position, NO_BUILD), *overflowed, *self._in_flight_builds(position)]
+            [
+                self.last_build_by_key.get(position, NO_BUILD),
+                *overflow_builds,
+                *self._in_flight_builds(position),
+            ]
         )
 
     def allows(self, request: Request, build: int) -> bool:
@@ -66,37 +70,39 @@
         """
         if request.key is None:
             return
-        was_bound = self._remove_in_flight(request.hash_position, attempt)
+        was_pinned = self._remove_in_flight(request.hash_position, attempt)
         phases = {candidate.phase for candidate in self.releases.candidates}
         build = attempt.build
-        met = outcome is Outcome.COMPLETED
-        remembers = ReleasePhase.CANDIDATE in phases
+        served = outcome is Outcome.COMPLETED
+        tracked = ReleasePhase.CANDIDATE in phases
         if self.one_way:
             build = max(build, attempt.server.build)
-            met = outcome is not Outcome.ERROR and outcome not in PROVES_NOT_RUN
-            met = met and (was_bound or build != attempt.build)  # else rolled back since: the key is free
-            unnamed = build > self.releases.newest.build
-            remembers = remembers or ReleasePhase.RELEASED in phases or unnamed
-        if met and remembers:
-            self._remember(request.hash_position, build)
-
-    def forget_build(self, build: int) -> None:
+            served = outcome is not Outcome.ERROR and outcome not in NOT_EXECUTED_OUTCOMES
+            served = served and (
+                was_pinned or build != attempt.build
+            )  # else rolled back since: the key is free
+            newer_than_named = build > self.releases.newest.build
+            tracked = tracked or ReleasePhase.RELEASED in phases or newer_than_named
+        if served and tracked:
+            self._record_build(request.hash_position, build)
+
+    def remove_build(self, build: int) -> None:
         """Free the keys of a build that is rolled back."""
         self.last_build_by_key = {
             position: last for position, last in self.last_build_by_key.items() if last != build
         }
         for position, builds in list(self.in_flight_builds_by_key.items()):
-            bound = {attempt: other for attempt, other in builds.items() if other != build}
-            if bound:
-                self.in_flight_builds_by_key[position] = bound
+            remaining = {attempt: other for attempt, other in builds.items() if other != build}
+            if remaining:
+                self.in_flight_builds_by_key[position] = remaining
             else:
                 del self.in_flight_builds_by_key[position]
 
-    def forget_builds(self, known: Collection[int]) -> None:
-        """Drop the builds outside `known`, unless keys may never go back."""
+    def prune_builds(self, active_builds: Collection[int]) -> None:
+        """Drop the builds outside `active_builds`, unless keys may never go back."""
         if not self.one_way:
             self.last_build_by_key = {
-                position: last for position, last in self.last_build_by_key.items() if last in known
+                position: last for position, last in self.last_build_by_key.items() if last in active_builds
             }
 
     def _in_flight_builds(self, position: float) -> Collection[int]:
@@ -105,19 +111,19 @@
     def _remove_in_flight(self, position: float, attempt: Attempt) -> bool:
         """Return whether the attempt still bound its key; one at a build that was rolled back does not."""
         builds = self.in_flight_builds_by_key.get(position, {})
-        was_bound = builds.pop(attempt, None) is not None
+        was_pinned = builds.pop(attempt, None) is not None
         if not builds:
             self.in_flight_builds_by_key.pop(position, None)
-        return was_bound
+        return was_pinned
 
-    def _remember(self, position: float, build: int) -> None:
+    def _record_build(self, position: float, build: int) -> None:
         """Remember the build; memory is bounded by remembering ranges of keys in place of single ones.
 
         Beyond the bound all keys within a candidate's widest share count as having met it, which is true of
         most; with `one_way` some that never met it are then rejected once its exposure limit is reached.
         """
         self.last_build_by_key[position] = max(build, self.last_build_by_key.get(position, NO_BUILD))
-        if len(self.last_build_by_key) <= MAX_REMEMBERED_KEYS:
+        if len(self.last_build_by_key) <= MAX_TRACKED_KEYS:
             return
         for candidate in self.releases.candidates:
             candidate.affinity_overflowed = True
@@ -126,6 +132,6 @@
                 for other, last in self.last_build_by_key.items()
                 if not candidate.ever_contained(other)
             }
-        if len(self.last_build_by_key) > MAX_REMEMBERED_KEYS / 2:
+        if len(self.last_build_by_key) > MAX_TRACKED_KEYS / 2:
             self.last_build_by_key = {}
             self.releases.newest.widest_share = 1.0
--- a/gullmount/decisions/endpoints.py
+++ b/gullmount/decisions/endpoints.py
@@ -19,27 +19,27 @@
         """Of slow start, below one attempt; it differs between instances, so that they don't act in step."""
         self.attempts_in_flight = 0
         """Attempts of this instance."""
-        self._begin_process(now)
-        self._describe(endpoint)
+        self._reset_process_state(now)
+        self._copy_endpoint(endpoint)
 
     def update(self, endpoint: Endpoint, now: float) -> None:
         """Take over a new entry; another build or start is another process, of which nothing is known."""
         if endpoint.build != self.build or endpoint.started_at != self.started_at:
-            self._begin_process(now)
-        self._describe(endpoint)
+            self._reset_process_state(now)
+        self._copy_endpoint(endpoint)
 
     def age(self, now: float) -> float:
         """Return the seconds since the start; the whole time of the clock where it is not known."""
         return now - self.started_at if self.started_at > 0 else now
 
-    def _begin_process(self, now: float) -> None:
+    def _reset_process_state(self, now: float) -> None:
         self.latency = LatencyEstimate()
         self.ejection = EjectionState()
         self.slow_start = SlowStartCredit(self.initial_credit, now)
         self.connected_until = 0.0
         """Seconds on the runtime's clock until which a connection is thought to be open."""
 
-    def _describe(self, endpoint: Endpoint) -> None:
+    def _copy_endpoint(self, endpoint: Endpoint) -> None:
         self.zone = endpoint.zone
         self.cell = endpoint.cell
         self.build = endpoint.build
@@ -66,10 +66,10 @@
     def update(self, kind: EndpointUpdateKind, endpoints: Iterable[Endpoint], now: float) -> None:
         """Apply a snapshot, or the entries that changed."""
         if kind is EndpointUpdateKind.SNAPSHOT:
-            self._remove_all_but({endpoint.server_id for endpoint in endpoints})
+            self._remove_unlisted({endpoint.server_id for endpoint in endpoints})
         for endpoint in endpoints:
             self._apply(endpoint, now)
-        self._index(now)
+        self._rebuild_index(now)
 
     def prune_warming(self, now: float) -> None:
         """Forget as warming the servers that have all of their capacity by now, or are not ready any more."""
@@ -79,8 +79,8 @@
             if server.ready and self.slow_start.weight(server.started_at, now) < 1
         ]
 
-    def _remove_all_but(self, listed: set[str]) -> None:
-        for server_id in [server_id for server_id in self.servers if server_id not in listed]:
+    def _remove_unlisted(self, listed_ids: set[str]) -> None:
+        for server_id in [server_id for server_id in self.servers if server_id not in listed_ids]:
             del self.servers[server_id]
 
     def _apply(self, endpoint: Endpoint, now: float) -> None:
@@ -91,7 +91,7 @@
         else:
             self.servers[endpoint.server_id] = Server(endpoint, self.draw(), now)
 
-    def _index(self, now: float) -> None:
+    def _rebuild_index(self, now: float) -> None:
         self.ready_by_build = {}
         self.warming = []
         for server in self.servers.values():
--- a/gullmount/decisions/exposure.py
+++ b/gullmount/decisions/exposure.py
@@ -20,23 +20,23 @@
     """Requests accepted and attempts sent within the window, in seconds on the runtime's clock."""
 
     def __init__(self) -> None:
-        self.requests: deque[float] = deque()
-        self.attempts: dict[int, deque[float]] = defaultdict(deque)
+        self.request_times: deque[float] = deque()
+        self.attempt_times_by_build: dict[int, deque[float]] = defaultdict(deque)
         """By build."""
 
-    def record_request(self, arrived_at: float, since: float) -> None:
-        """Count a request; what lies before `since` is dropped."""
-        insert_in_order(self.requests, arrived_at)
-        drop_before(self.requests, since)
+    def record_request(self, arrived_at: float, window_start: float) -> None:
+        """Count a request; what lies before `window_start` is dropped."""
+        insert_in_order(self.request_times, arrived_at)
+        drop_before(self.request_times, window_start)
 
-    def record_attempt(self, build: int, now: float, since: float) -> None:
-        """Count an attempt at a server of the build; what lies before `since` is dropped."""
-        self.attempts[build].append(now)
-        drop_before(self.attempts[build], since)
+    def record_attempt(self, build: int, now: float, window_start: float) -> None:
+        """Count an attempt at a server of the build; what lies before `window_start` is dropped."""
+        self.attempt_times_by_build[build].append(now)
+        drop_before(self.attempt_times_by_build[build], window_start)
 
-    def move_attempt(self, build: int, counted_at: float, now: float) -> None:
+    def update_attempt_time(self, build: int, counted_at: float, now: float) -> None:
         """Count an attempt as of now in place of an earlier time."""
-        attempts = self.attempts[build]
+        attempts = self.attempt_times_by_build[build]
         index = len(attempts) - 1
         while index >= 0 and attempts[index] > counted_at:
             index -= 1
@@ -44,68 +44,73 @@
             del attempts[index]
         attempts.append(now)
 
-    def counts(self, build: int, since: float) -> tuple[int, int]:
+    def counts(self, build: int, window_start: float) -> tuple[int, int]:
         """Return the attempts at the build and the requests since then.
 
         An attempt of just that moment still counts and a request does not, which is the stricter reading.
         """
-        attempts = self.attempts[build]
-        drop_before(self.requests, nextafter(since, inf))
-        drop_before(attempts, since)
-        return len(attempts), len(self.requests)
+        attempts = self.attempt_times_by_build[build]
+        drop_before(self.request_times, nextafter(window_start, inf))
+        drop_before(attempts, window_start)
+        return len(attempts), len(self.request_times)
 
 
 class ExposureLimiter:
     """Keeps the exposure limit for this instance alone."""
 
     def __init__(self, settings: InstanceSettings, now: float) -> None:
-        self.release = settings.release
+        self.release_settings = settings.release
         self.restarted = settings.restarted
-        self.begun_at = now
+        self.created_at = now
         self.windows: dict[str, ExposureWindow] = defaultdict(ExposureWindow)
         """By route, or one under the empty name."""
 
     def window(self, route: Route) -> ExposureWindow:
         """Return the window that the route's requests are counted in."""
-        return self.windows[route.name if self.release.counted_by_route else ""]
+        return self.windows[route.name if self.release_settings.counted_by_route else ""]
 
     def record_request(self, route: Route, arrived_at: float) -> None:
         """Count a request as of its arrival: one that was read late leaves the window no later for that."""
-        self.window(route).record_request(arrived_at, arrived_at - self.release.exposure_window)
+        self.window(route).record_request(arrived_at, arrived_at - self.release_settings.exposure_window)
 
     def record_attempt(self, route: Route, build: int, now: float) -> None:
         """Count an attempt that is sent now."""
-        self.window(route).record_attempt(build, now, now - self.release.exposure_window)
+        self.window(route).record_attempt(build, now, now - self.release_settings.exposure_window)
 
-    def move_attempt(self, route: Route, build: int, counted_at: float, now: float) -> None:
+    def update_attempt_time(self, route: Route, build: int, counted_at: float, now: float) -> None:
         """Count an attempt as of now that waited since `counted_at` until it was sent."""
         if now > counted_at:
-            self.window(route).move_attempt(build, counted_at, now)
+            self.window(route).update_attempt_time(build, counted_at, now)
 
-    def allows(self, route: Route, build: int, candidate: Candidate, now: float, additional: int) -> bool:
+    def allows(
+        self, route: Route, build: int, candidate: Candidate, now: float, additional_attempts: int
+    ) -> bool:
         """Whether the candidate's servers of the build may get so many attempts more.
 
         A build that is newer than the candidate is one that no release status has named yet: it gets the
         first stage's limit. After a restart nothing is sent for a window: an earlier process may have used
         it up.
         """
-        if self.restarted and now - self.begun_at < self.release.exposure_window:
+        if self.restarted and now - self.created_at < self.release_settings.exposure_window:
             return False
         if build > candidate.build:
-            limit, stage = self.release.exposure_limits[0], 0
+            limit, stage = self.release_settings.exposure_limits[0], 0
         else:
             limit, stage = candidate.exposure_limit, candidate.stage
         if limit <= 0:
             return False
-        if stage < self.release.idempotent_only_stages and route.retry_safety is not RetrySafety.IDEMPOTENT:
+        if (
+            stage < self.release_settings.idempotent_only_stages
+            and route.retry_safety is not RetrySafety.IDEMPOTENT
+        ):
             return False
-        attempts, requests = self.window(route).counts(build, now - self.release.exposure_window)
-        return attempts + additional <= self.release.exposure_slack + limit * requests
+        attempts, requests = self.window(route).counts(build, now - self.release_settings.exposure_window)
+        return attempts + additional_attempts <= self.release_settings.exposure_slack + limit * requests
 
-    def forget_builds(self, known: Collection[int], now: float) -> None:
-        """Drop the builds outside `known` of which no attempt counts any more."""
-        since = now - self.release.exposure_window
+    def prune_builds(self, active_builds: Collection[int], now: float) -> None:
+        """Drop the builds outside `active_builds` of which no attempt counts any more."""
+        window_start = now - self.release_settings.exposure_window
         for window in self.windows.values():
-            for build in [build for build in window.attempts if build not in known]:
-                if not window.counts(build, since)[0]:
-                    del window.attempts[build]
+            for build in [build for build in window.attempt_times_by_build if build not in active_builds]:
+                if not window.counts(build, window_start)[0]:
+                    del window.attempt_times_by_build[build]
--- a/gullmount/decisions/latency.py
+++ b/gullmount/decisions/latency.py
@@ -10,9 +10,9 @@
 
 from gullmount.decisions.endpoints import Server
 from gullmount.decisions.latency_estimate import LatencyEstimate
-from gullmount.decisions.model import FAILURES, NO_ANSWER, Outcome
+from gullmount.decisions.model import FAILURE_OUTCOMES, NO_RESPONSE_OUTCOMES, Outcome
 
-INITIAL_LATENCY = 0.15  # latency objectives, before any outcome
+INITIAL_LATENCY_OBJECTIVES = 0.15  # latency objectives, before any outcome
 INSTANCE_WEIGHT = 0.05  # of the newest outcome in the estimate over all attempts
 SERVER_WEIGHT = 0.2  # of the newest outcome in a server's or zone's estimate
 INSTANCE_HALF_LIFE_SECONDS = 10.0
@@ -30,7 +30,7 @@
 
     def expected(self, now: float) -> float:
         """Return the expected time of an attempt anywhere, in latency objectives."""
-        return self.instance.expected(INITIAL_LATENCY, INSTANCE_HALF_LIFE_SECONDS, now)
+        return self.instance.expected(INITIAL_LATENCY_OBJECTIVES, INSTANCE_HALF_LIFE_SECONDS, now)
 
     def expected_by_zone(self, now: float) -> dict[str, float]:
         """Return the expected time in each zone that an attempt was made in, in latency objectives."""
@@ -49,10 +49,12 @@
 
         A failure counts as a whole objective at least: a server that fails fast must not look idle.
         """
-        if outcome in FAILURES:
+        if outcome in FAILURE_OUTCOMES:
             latency = max(1.0, latency)
-        if outcome in NO_ANSWER or outcome is Outcome.COMPLETED:
-            self.instance.update(latency, INSTANCE_WEIGHT, INITIAL_LATENCY, INSTANCE_HALF_LIFE_SECONDS, now)
+        if outcome in NO_RESPONSE_OUTCOMES or outcome is Outcome.COMPLETED:
+            self.instance.update(
+                latency, INSTANCE_WEIGHT, INITIAL_LATENCY_OBJECTIVES, INSTANCE_HALF_LIFE_SECONDS, now
+            )
             zone = self.by_zone[server.zone]
             zone.update(latency, SERVER_WEIGHT, self.expected(now), ZONE_HALF_LIFE_SECONDS, now)
         if outcome in (Outcome.COMPLETED, Outcome.TIMEOUT, Outcome.ERROR):
--- a/gullmount/decisions/model.py
+++ b/gullmount/decisions/model.py
@@ -32,13 +32,13 @@
     """The attempt was given up before anything was sent, or the deadline passed before the server began."""
 
 
-PROVES_NOT_RUN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.EXPIRED)
+NOT_EXECUTED_OUTCOMES = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.EXPIRED)
 """Outcomes after which the server cannot have executed the request."""
 
-NO_ANSWER = (Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.RESET)
+NO_RESPONSE_OUTCOMES = (Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.RESET)
 """Failures without a complete answer."""
 
-FAILURES = (*NO_ANSWER, Outcome.ERROR)
+FAILURE_OUTCOMES = (*NO_RESPONSE_OUTCOMES, Outcome.ERROR)
 """Outcomes that speak against the server, for its latency estimate and for outlier ejection."""
 
 
@@ -47,7 +47,7 @@
 
     ENDPOINTS_STALE = "server list out of date"
     DEADLINE_TOO_CLOSE = "too little time left"
-    RETRY_BUDGET_SPENT = "retry budget spent"
+    RETRY_BUDGET_EXHAUSTED = "retry budget spent"
     ATTEMPTS_EXHAUSTED = "attempts used up"
     NO_ELIGIBLE_SERVER = "no server may take it"
     """None of the above: no server is ready, or a rule bars each that is.
--- a/gullmount/decisions/retries.py
+++ b/gullmount/decisions/retries.py
@@ -3,40 +3,40 @@
 from __future__ import annotations
 
 from gullmount.decisions.endpoints import Server
-from gullmount.decisions.model import PROVES_NOT_RUN, DeduplicationScope, Outcome, RetrySafety
+from gullmount.decisions.model import NOT_EXECUTED_OUTCOMES, DeduplicationScope, Outcome, RetrySafety
 from gullmount.decisions.requests import Attempt, Request
 
-BUDGET_PER_REQUEST = 0.2  # retries that each accepted request adds to the budget: overload must not amplify
-MAX_BUDGET_OF_ALL_INSTANCES = 40.0  # retries saved up by all instances together; each has one at least
+RETRIES_PER_REQUEST = 0.2  # retries that each accepted request adds to the budget: overload must not amplify
+MAX_FLEET_RETRY_BUDGET = 40.0  # retries saved up by all instances together; each has one at least
 ATTEMPT_TIMEOUT_OBJECTIVES = 1.0  # latency objectives that an attempt may take while a retry could follow
-OVERLOAD_FROM_OBJECTIVES = 0.5  # of expected latency, from which an attempt gets all the time left
+OVERLOAD_LATENCY_OBJECTIVES = 0.5  # of expected latency, from which an attempt gets all the time left
 
 
 class RetryBudget:
     """The retries that this instance may send."""
 
     def __init__(self, instance_count: int) -> None:
-        self.limit = max(1.0, MAX_BUDGET_OF_ALL_INSTANCES / instance_count)
-        self.retries = self.limit
+        self.limit = max(1.0, MAX_FLEET_RETRY_BUDGET / instance_count)
+        self.available_retries = self.limit
 
     @property
-    def is_spent(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Whether no retry may be sent."""
-        return self.retries < 1
+        return self.available_retries < 1
 
     def record_request(self) -> None:
         """Add what an accepted request allows."""
-        self.retries = min(self.limit, self.retries + BUDGET_PER_REQUEST)
+        self.available_retries = min(self.limit, self.available_retries + RETRIES_PER_REQUEST)
 
     def record_attempt(self, request: Request) -> None:
         """Take one retry from the budget unless this is the request's first attempt."""
         if request.attempts:
-            self.retries -= 1
+            self.available_retries -= 1
 
 
-def note_possible_run(request: Request, attempt: Attempt, outcome: Outcome) -> None:
+def record_possible_execution(request: Request, attempt: Attempt, outcome: Outcome) -> None:
     """Remember the first attempt that may have run: deduplication goes by its place and time."""
-    if outcome in PROVES_NOT_RUN or request.deduplication_group is not None:
+    if outcome in NOT_EXECUTED_OUTCOMES or request.deduplication_group is not None:
         return
     request.deduplication_group = attempt.deduplication_group
     request.deduplicated_until = attempt.sent_at + request.route.deduplication_window
@@ -72,12 +72,12 @@
     an overload it is all the time left: an attempt that is cut off works on at its server for nobody.
     `expected_latency` is in latency objectives.
     """
-    left = request.deadline - now
+    time_left = request.deadline - now
     retry_could_follow = (
         request.route.retry_safety is not RetrySafety.AT_MOST_ONCE
         and len(request.attempts) + 1 < max_attempts
-        and expected_latency < OVERLOAD_FROM_OBJECTIVES
+        and expected_latency < OVERLOAD_LATENCY_OBJECTIVES
     )
     if not retry_could_follow:
-        return left
-    return max(left / 2, min(left, ATTEMPT_TIMEOUT_OBJECTIVES * request.route.latency_objective))
+        return time_left
+    return max(time_left / 2, min(time_left, ATTEMPT_TIMEOUT_OBJECTIVES * request.route.latency_objective))
--- a/gullmount/decisions/router.py
+++ b/gullmount/decisions/router.py
@@ -118,14 +118,14 @@
             if not self.releases.admits(build, phase):
                 return
             candidate = self.releases.add(build, stage, exposure_limit)
-            self._forget_builds()
+            self._prune_builds()
         elif candidate.phase in ROLLBACK_PHASES and phase not in ROLLBACK_PHASES:
             return
         elif phase is not candidate.phase or stage != candidate.stage:
             candidate.ballot.last = NO_VOTE
         self.canary.note_baseline(candidate)
         if phase in ROLLBACK_PHASES:
-            self.affinity.forget_build(build)
+            self.affinity.remove_build(build)
         candidate.advance(stage, phase, exposure_limit, self.runtime.now())
 
     def record_metrics(
@@ -192,8 +192,8 @@
             self.canary.requests -= 1
         self.affinity.attempt_ended(request, attempt, outcome)
         if outcome is Outcome.COMPLETED:
-            self.slow_start.record_answer(now)
-        retries.note_possible_run(request, attempt, outcome)
+            self.slow_start.record_completion(now)
+        retries.record_possible_execution(request, attempt, outcome)
         if not request.settled and not request.attempts_in_flight:
             self._advance(request)
 
@@ -244,7 +244,7 @@
             and self._build_allowed(request, attempt.build, now, additional_attempts=0)
         )
         if allowed:
-            self.exposure.move_attempt(request.route, attempt.build, attempt.counted_at, now)
+            self.exposure.update_attempt_time(request.route, attempt.build, attempt.counted_at, now)
             attempt.counted_at = now
         return allowed
 
@@ -261,16 +261,16 @@
         """Begin the request's next attempt, or end it at once: a request is never kept waiting."""
         now = self.runtime.now()
         expected_latency = self.latencies.expected(now)
-        in_time = admission.deadline_can_be_met(request, expected_latency, now)
-        may_retry = not request.attempts or not self.retry_budget.is_spent
-        server = self.pick(request, now) if in_time and may_retry else None
+        deadline_reachable = admission.deadline_can_be_met(request, expected_latency, now)
+        may_retry = not request.attempts or not self.retry_budget.is_exhausted
+        server = self.pick(request, now) if deadline_reachable and may_retry else None
         if server is not None:
             request.settled = False
             self._begin_attempt(request, server, expected_latency, now)
             return
         request.settled = True
         self.canary.requests -= 1
-        self._give_up(request, in_time, now)
+        self._reject_or_fail(request, deadline_reachable, now)
 
     def _begin_attempt(self, request: Request, server: Server, expected_latency: float, now: float) -> None:
         self.retry_budget.record_attempt(request)
@@ -285,13 +285,13 @@
         request.attempts.append(attempt)
         self.runtime.forward(request.id, server.id, timeout)
 
-    def _give_up(self, request: Request, in_time: bool, now: float) -> None:
+    def _reject_or_fail(self, request: Request, deadline_reachable: bool, now: float) -> None:
         self.rejection_reason = admission.rejection_reason(
             request,
-            stale=self.endpoints_are_stale(now),
-            in_time=in_time,
+            endpoints_stale=self.endpoints_are_stale(now),
+            deadline_reachable=deadline_reachable,
             max_attempts=self.settings.max_attempts,
-            budget_spent=self.retry_budget.is_spent,
+            budget_exhausted=self.retry_budget.is_exhausted,
         )
         if retries.client_may_retry(request):
             self.runtime.reject(request.id, admission.retry_after(self.settings.max_retry_after))
@@ -350,10 +350,10 @@
         if evaluation is not None:
             self.voting.cast(candidate, evaluation, now)
 
-    def _forget_builds(self) -> None:
+    def _prune_builds(self) -> None:
         """Drop what is kept of builds neither in release nor listed, so that memory does not grow."""
         in_release = {candidate.build for candidate in self.releases.candidates}
-        known = in_release | self.endpoints.ready_by_build.keys()
-        self.exposure.forget_builds(known, self.runtime.now())
-        self.concurrency.forget_builds(known)
-        self.affinity.forget_builds(in_release)
+        active_builds = in_release | self.endpoints.ready_by_build.keys()
+        self.exposure.prune_builds(active_builds, self.runtime.now())
+        self.concurrency.prune_builds(active_builds)
+        self.affinity.prune_builds(in_release)
--- a/gullmount/decisions/slow_start.py
+++ b/gullmount/decisions/slow_start.py
@@ -11,8 +11,8 @@
 from gullmount.decisions.model import InstanceSettings
 from gullmount.decisions.sliding_window import drop_before
 
-RATE_WINDOW_SECONDS = 5.0  # over which the rate of answers is taken
-SHORTEST_RATE_WINDOW_SECONDS = 1.0
+MAX_RATE_WINDOW_SECONDS = 5.0  # over which the rate of answers is taken
+MIN_RATE_WINDOW_SECONDS = 1.0
 
 
 class SlowStartCredit:
@@ -33,8 +33,8 @@
         self.cold_capacity = settings.cold_capacity
         self.warm_up_time = settings.warm_up_time
         self.overload_multiple = settings.overload_multiple
-        self.begun_at = now
-        self.answered_at: deque[float] = deque()
+        self.created_at = now
+        self.completed_at: deque[float] = deque()
         """Seconds on the runtime's clock, within the rate window."""
 
     def weight(self, started_at: float, now: float) -> float:
@@ -45,10 +45,10 @@
         cold = self.cold_capacity
         return min(1.0, cold + (1 - cold) * max(0.0, age) / self.warm_up_time)
 
-    def record_answer(self, now: float) -> None:
+    def record_completion(self, now: float) -> None:
         """Take note that an attempt completed anywhere."""
-        self.answered_at.append(now)
-        drop_before(self.answered_at, now - RATE_WINDOW_SECONDS)
+        self.completed_at.append(now)
+        drop_before(self.completed_at, now - MAX_RATE_WINDOW_SECONDS)
 
     def allows(self, credit: SlowStartCredit, started_at: float, ready_servers: int, now: float) -> bool:
         """Whether the server may get an attempt: it is warm, or has earned one.
@@ -60,10 +60,10 @@
         weight = self.weight(started_at, now)
         if weight >= 1:
             return True
-        window = max(SHORTEST_RATE_WINDOW_SECONDS, min(RATE_WINDOW_SECONDS, now - self.begun_at))
-        rate = len(self.answered_at) / window
-        per_server = rate / ready_servers
-        earned = (now - credit.updated_at) * per_server * weight * self.overload_multiple / 2
-        credit.attempts = min(1.0, credit.attempts + earned)
+        window = max(MIN_RATE_WINDOW_SECONDS, min(MAX_RATE_WINDOW_SECONDS, now - self.created_at))
+        rate = len(self.completed_at) / window
+        rate_per_server = rate / ready_servers
+        earned_attempts = (now - credit.updated_at) * rate_per_server * weight * self.overload_multiple / 2
+        credit.attempts = min(1.0, credit.attempts + earned_attempts)
         credit.updated_at = now
         return credit.attempts >= 1
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -16,7 +16,7 @@
 )
 
 
-def test_one_way_key_is_retried_at_the_build_that_answered_it() -> None:
+def test_one_way_key_is_retried_at_the_build_that_served_it() -> None:
     harness = candidate_harness(one_way=True)
     harness.router.affinity.last_build_by_key[hash_position("k")] = 2
     request = harness.accept("look", "k")
@@ -30,13 +30,13 @@
     key = key_of_candidate(harness)
     first, second = harness.accept("look", key), harness.accept("pay", key)
     assert zones_of(harness, first) == ["b"] and zones_of(harness, second) == []
-    assert harness.answers[second.id] == ["rejected"]
+    assert harness.responses[second.id] == ["rejected"]
     other = harness.accept("pay", key + "-another")
     assert zones_of(harness, other) == ["a"]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_one_way_key_is_bound_by_an_answer_that_did_not_arrive(outcome: Outcome) -> None:
+def test_one_way_key_stays_with_a_build_whose_response_did_not_arrive(outcome: Outcome) -> None:
     """The answer lies unheard at the socket as the try's time is up or its client leaves, or was lost."""
     harness = one_way_harness()
     key = key_of_candidate(harness)
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize(
     "outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.EXPIRED, Outcome.ERROR]
 )
-def test_one_way_key_that_was_not_answered_is_free(outcome: Outcome) -> None:
+def test_one_way_key_may_go_to_older_build_after_an_attempt_that_did_not_serve_it(outcome: Outcome) -> None:
     harness = one_way_harness()
     key = key_of_candidate(harness)
     first = harness.accept("look", key)
@@ -62,14 +62,14 @@
     """Its bytes may wait on a cut link and arrive after the new build's answer to a second try."""
     harness = one_way_harness()
     key = key_of_candidate(harness)
-    slow, second = harness.accept("pay", key), harness.accept("look", key)
-    assert zones_of(harness, slow) == ["a"] and zones_of(harness, second) == ["a"]
+    slow_request, second = harness.accept("pay", key), harness.accept("look", key)
+    assert zones_of(harness, slow_request) == ["a"] and zones_of(harness, second) == ["a"]
     harness.end_attempt(second)
-    harness.end_attempt(slow)
+    harness.end_attempt(slow_request)
     assert zones_of(harness, harness.accept("look", key)) == ["b"]
 
 
-def test_one_way_keys_are_free_once_the_build_is_rolled_back_under_their_attempts() -> None:
+def test_one_way_key_goes_to_the_baseline_once_its_build_rolls_back_during_an_attempt() -> None:
     harness = one_way_harness()
     key = key_of_candidate(harness)
     first = harness.accept("look", key)
@@ -81,7 +81,7 @@
     assert not harness.router.affinity.last_build_by_key
 
 
-def test_one_way_key_met_the_build_that_its_server_was_listed_with_since() -> None:
+def test_one_way_key_stays_with_the_build_its_server_was_relisted_with_during_an_attempt() -> None:
     """Builds count as the list last showed them: here after the send and before the answer."""
     harness = one_way_harness()
     key = key_of_candidate(harness)
@@ -91,7 +91,7 @@
     assert zones_of(harness, harness.accept("pay", key)) == []
 
 
-def test_one_way_key_met_a_build_that_is_listed_before_its_status_and_after_a_rollback() -> None:
+def test_one_way_key_stays_with_a_build_listed_before_its_release_status() -> None:
     harness = one_way_harness()
     harness.set_release(stage=0, phase=ReleasePhase.ROLLED_BACK, cap=0.0)
     harness.list_servers({"a0": 1, "a1": 1, "c0": 3})
@@ -103,7 +103,7 @@
     assert zones_of(harness, harness.accept("pay", key)) == []
 
 
-def test_attempts_in_flight_by_key_are_forgotten_with_their_ends() -> None:
+def test_in_flight_builds_of_a_key_are_dropped_when_its_attempts_end() -> None:
     harness = one_way_harness()
     requests = [harness.accept("look", f"k{number % 7}") for number in range(60)]
     assert sum(map(len, harness.router.affinity.in_flight_builds_by_key.values())) == sum(
@@ -115,24 +115,26 @@
     assert not harness.router.affinity.in_flight_builds_by_key
 
 
-def test_remembered_keys_are_bounded_and_stay_at_their_build(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(affinity, "MAX_REMEMBERED_KEYS", 50)
+def test_number_of_tracked_keys_is_bounded_and_keys_stay_at_their_build(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(affinity, "MAX_TRACKED_KEYS", 50)
     harness = candidate_harness(one_way=True, exposure_slack=1e9)
-    met: set[str] = set()
+    keys_of_candidate: set[str] = set()
     for number in range(1200):
         request = harness.accept("look", f"k{number}")
         if harness.forwarded[-1][0] == request.id and harness.forwarded[-1][1].startswith("b"):
-            met.add(f"k{number}")
+            keys_of_candidate.add(f"k{number}")
         harness.end_attempt(request)
         harness.advance_clock(0.02)
-    assert len(met) > 150 and len(harness.router.affinity.last_build_by_key) <= 51
+    assert len(keys_of_candidate) > 150 and len(harness.router.affinity.last_build_by_key) <= 51
     harness.router.traffic_split.update = lambda now: None
     # As after a cap that fell: only what is remembered keeps a key on its build.
     harness.router.releases.candidates[-1].traffic_share = 0.0
-    for key in sorted(met):
-        before = len(harness.forwarded)
+    for key in sorted(keys_of_candidate):
+        forwarded_before = len(harness.forwarded)
         harness.end_attempt(harness.accept("look", key))
-        assert all(server.startswith("b") for _, server, _ in harness.forwarded[before:])
+        assert all(server.startswith("b") for _, server, _ in harness.forwarded[forwarded_before:])
         harness.advance_clock(0.02)
 
 
@@ -175,7 +177,7 @@
     assert zones_of(harness, harness.accept("pay", "k")) == zones
 
 
-def test_one_way_key_is_free_once_a_rolled_back_build_answers_an_attempt_from_before() -> None:
+def test_late_response_of_a_rolled_back_build_does_not_pin_a_one_way_key() -> None:
     """Guards against an answer that binds its key to a build that was rolled back while it was awaited."""
     harness = one_way_harness()
     key = key_of_candidate(harness)
--- a/tests/decisions/test_affinity_orders.py
+++ b/tests/decisions/test_affinity_orders.py
@@ -42,21 +42,21 @@
 
 
 @dataclass
-class InFlight:
-    """An attempt in flight; `freed` once its build was rolled back."""
+class TrackedAttempt:
+    """An attempt in flight; `rolled_back` once its build was rolled back."""
 
     attempt: Attempt
-    freed: bool = False
+    rolled_back: bool = False
 
 
 @dataclass
-class OneKey:
+class KeyHistory:
     """The real rules, and what the page would have known of the key."""
 
     affinity_class: type[Affinity] = Affinity
     releases: Releases = field(default_factory=lambda: Releases(SETTINGS))
-    in_flight: list[InFlight] = field(default_factory=list)
-    met: set[int] = field(default_factory=set)
+    in_flight: list[TrackedAttempt] = field(default_factory=list)
+    serving_builds: set[int] = field(default_factory=set)
     phases: dict[int, ReleasePhase] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -68,9 +68,9 @@
             yield from (
                 ("send", build, None) for build in BUILDS if self.affinity.allows(self.request, build)
             )
-        for number, one in enumerate(self.in_flight):
+        for number, tracked in enumerate(self.in_flight):
             yield from (("end", number, outcome) for outcome in OUTCOMES)
-            if one.attempt.server.build < BUILDS[-1]:
+            if tracked.attempt.server.build < BUILDS[-1]:
                 yield "relist", number, None
         for build, phases in STATUSES.items():
             yield from (("status", build, phase) for phase in phases if self.admits(build, phase))
@@ -84,100 +84,103 @@
             return phase is CANDIDATE
         return known is CANDIDATE or (known is RELEASED and phase is not CANDIDATE) or phase is ROLLED_BACK
 
-    def do(self, action: Action) -> None:
-        what, number, detail = action
-        if what == "send":
+    def apply(self, action: Action) -> None:
+        kind, number, detail = action
+        if kind == "send":
             self.check_send(number)
             server = SimpleNamespace(build=number, zone="a", cell=0, connected_until=0.0)
             attempt = Attempt(cast(Any, server), 0.0)
             self.affinity.attempt_started(self.request, attempt)
-            self.in_flight.append(InFlight(attempt))
-        elif what == "relist":
+            self.in_flight.append(TrackedAttempt(attempt))
+        elif kind == "relist":
             self.in_flight[number].attempt.server.build += 1
-        elif what == "end":
+        elif kind == "end":
             ended = self.in_flight.pop(number)
-            if detail is Outcome.COMPLETED and not ended.freed:
-                self.met.add(ended.attempt.server.build)
+            if detail is Outcome.COMPLETED and not ended.rolled_back:
+                self.serving_builds.add(ended.attempt.server.build)
             self.affinity.attempt_ended(self.request, ended.attempt, detail)
         else:
-            self.told(number, detail)
+            self.update_release(number, detail)
 
-    def told(self, build: int, phase: ReleasePhase) -> None:
+    def update_release(self, build: int, phase: ReleasePhase) -> None:
         self.phases[build] = phase
         candidate = self.releases.find(build) or self.releases.add(build, 0, 0.5)
         if phase in ROLLBACK_PHASES:
-            self.affinity.forget_build(build)
-            self.met.discard(build)
-            for one in self.in_flight:
-                one.freed = one.freed or one.attempt.build == build
+            self.affinity.remove_build(build)
+            self.serving_builds.discard(build)
+            for tracked in self.in_flight:
+                tracked.rolled_back = tracked.rolled_back or tracked.attempt.build == build
         candidate.advance(0, phase, 0.5, 0.0)
 
     def check_send(self, build: int) -> None:
         newest = max(self.phases, default=0)
-        unnamed = {met for met in self.met if met > newest}
-        binding = unnamed | (
-            {newest} & self.met if self.phases.get(newest) in (CANDIDATE, RELEASED) else set()
+        newer_than_named = {met for met in self.serving_builds if met > newest}
+        minimum_builds = newer_than_named | (
+            {newest} & self.serving_builds if self.phases.get(newest) in (CANDIDATE, RELEASED) else set()
         )
-        assert build >= max(binding, default=0), f"the key met {binding} and goes to {build}"
-        others = {one.attempt.build for one in self.in_flight if not one.freed}
+        assert build >= max(minimum_builds, default=0), f"the key met {minimum_builds} and goes to {build}"
+        others = {tracked.attempt.build for tracked in self.in_flight if not tracked.rolled_back}
         assert others <= {build}, f"attempts in flight at {others} and one at {build}"
 
     def state(self) -> Any:
-        flights = [(one.attempt.build, one.attempt.server.build, one.freed) for one in self.in_flight]
-        bound = self.affinity.in_flight_builds_by_key.get(0.5, {})
-        marks = [one.attempt in bound for one in self.in_flight]
-        candidates = [(one.build, one.phase) for one in self.releases.candidates]
+        attempts = [
+            (tracked.attempt.build, tracked.attempt.server.build, tracked.rolled_back)
+            for tracked in self.in_flight
+        ]
+        builds_in_flight = self.affinity.in_flight_builds_by_key.get(0.5, {})
+        pins = [tracked.attempt in builds_in_flight for tracked in self.in_flight]
+        candidates = [(release.build, release.phase) for release in self.releases.candidates]
         last = tuple(self.affinity.last_build_by_key.items())
         return (
-            tuple(flights),
-            tuple(marks),
-            frozenset(self.met),
+            tuple(attempts),
+            tuple(pins),
+            frozenset(self.serving_builds),
             frozenset(self.phases.items()),
             last,
             str(candidates),
         )
 
 
-def replayed(affinity_class: type[Affinity], path: tuple[Action, ...]) -> OneKey:
-    key = OneKey(affinity_class)
+def replay(affinity_class: type[Affinity], path: tuple[Action, ...]) -> KeyHistory:
+    key = KeyHistory(affinity_class)
     for action in path:
-        key.do(action)
+        key.apply(action)
     return key
 
 
 def explore(depth: int, affinity_class: type[Affinity] = Affinity) -> int:
     """Go through all orders, each state once; returns how many states there are."""
-    seen = {OneKey(affinity_class).state()}
+    seen = {KeyHistory(affinity_class).state()}
     paths: list[tuple[Action, ...]] = [()]
     for _ in range(depth):
-        following = []
+        next_paths = []
         for path in paths:
-            for action in replayed(affinity_class, path).actions():
+            for action in replay(affinity_class, path).actions():
                 try:
-                    state = replayed(affinity_class, (*path, action)).state()
+                    state = replay(affinity_class, (*path, action)).state()
                 except AssertionError as error:
                     raise AssertionError(f"{error}, after {(*path, action)}") from None
                 if state not in seen:
                     seen.add(state)
-                    following.append((*path, action))
-        paths = following
+                    next_paths.append((*path, action))
+        paths = next_paths
     return len(seen)
 
 
-class TakesAnothersMark(Affinity):
+class RemovesWrongAttempt(Affinity):
     """Planted: an attempt's end takes the mark of any attempt at the same build."""
 
     def _remove_in_flight(self, position: float, attempt: Attempt) -> bool:
-        marks = self.in_flight_builds_by_key.get(position, {})
-        same = [other for other, build in marks.items() if build == attempt.build]
-        return super()._remove_in_flight(position, same[0] if same else attempt)
+        builds_by_attempt = self.in_flight_builds_by_key.get(position, {})
+        attempts_at_build = [other for other, build in builds_by_attempt.items() if build == attempt.build]
+        return super()._remove_in_flight(position, attempts_at_build[0] if attempts_at_build else attempt)
 
 
-def test_planted_fault_is_found() -> None:
+def test_exploration_finds_an_end_that_removes_the_wrong_attempt() -> None:
     with pytest.raises(AssertionError, match="attempts in flight at"):
-        explore(DEPTH, TakesAnothersMark)
+        explore(DEPTH, RemovesWrongAttempt)
 
 
-def test_one_way_keeps_its_rule_in_all_orders_of_events_of_one_key() -> None:
+def test_one_way_key_returns_to_no_older_build_in_any_order_of_events() -> None:
     """Guards against an attempt's end that takes another's mark: found in four events on the code before."""
     assert explore(DEPTH) > 1000
--- a/tests/decisions/test_endpoint_freshness.py
+++ b/tests/decisions/test_endpoint_freshness.py
@@ -21,138 +21,144 @@
     response_deadline,
 )
 
-DUE = 6.0  # s, the users' figure
-GRACE = 0.5  # s of the rule on drains
-MOVED = 4.0  # s after SIGHUP
+NOTIFIED_AFTER = 6.0  # s, the users' figure
+DRAIN_GRACE = 0.5  # s of the rule on drains
+NOTIFIED_AFTER_ADDRESS_CHANGE = 4.0  # s after SIGHUP
 EVENTS = ("news", "nothing", "refused", "refused at once", "broken", "silent", "unreachable", "moved")
-LONGEST = 5  # events of an order; 8^5 orders
-STEP = 0.25  # s between looks at whether requests may be sent
+MAX_EVENTS = 5  # events of an order; 8^5 orders
+CHECK_INTERVAL = 0.25  # s between looks at whether requests may be sent
 
 
-class Model:
+class NotificationModel:
     """The earliest moment from which a change that has not arrived may count as told."""
 
     def __init__(self, now: float) -> None:
-        self.told_from = now + DUE  # of the list in hand, as long as the first call has not failed
+        self.notified_from = (
+            now + NOTIFIED_AFTER
+        )  # of the list in hand, as long as the first call has not failed
         self.synced = False
 
     def answered(self, now: float) -> None:
-        self.told_from, self.synced = now + DUE, True
+        self.notified_from, self.synced = now + NOTIFIED_AFTER, True
 
     def failed(self, now: float) -> None:
         if not self.synced:
-            self.told_from = min(self.told_from, now)
+            self.notified_from = min(self.notified_from, now)
 
     def unreachable(self, began: float) -> None:
-        self.told_from = max(self.told_from, began + DUE)
+        self.notified_from = max(self.notified_from, began + NOTIFIED_AFTER)
 
-    def moved(self, now: float) -> None:
-        self.told_from = min(self.told_from, now + MOVED)
+    def address_changed(self, now: float) -> None:
+        self.notified_from = min(self.notified_from, now + NOTIFIED_AFTER_ADDRESS_CHANGE)
 
 
-def play(events: tuple[str, ...], instances: int, seed: int) -> list[float]:
+def find_violations(events: tuple[str, ...], instances: int, seed: int) -> list[float]:
     """Looks at which a request would be sent though a change counts as told for longer than the grace."""
     now = 100.0
-    fresh, model, wrong = EndpointFreshness(instances, Random(seed), now), Model(now), []
+    freshness, model, violations = EndpointFreshness(instances, Random(seed), now), NotificationModel(now), []
     for event in events:
-        planned = fresh.next_call
-        began = max(now, planned.not_before)
-        took = {
-            "news": 0.05, "nothing": planned.wait, "refused": 2.0, "refused at once": 0.0, "broken": 0.3,
-            "silent": planned.silence_timeout, "unreachable": 0.8, "moved": min(0.5, planned.wait),
+        call = freshness.next_call
+        began = max(now, call.not_before)
+        duration = {
+            "news": 0.05, "nothing": call.wait, "refused": 2.0, "refused at once": 0.0, "broken": 0.3,
+            "silent": call.silence_timeout, "unreachable": 0.8, "moved": min(0.5, call.wait),
         }[event]  # fmt: skip
-        end = began + took
+        end = began + duration
         while now < end:
-            if not fresh.is_stale(now) and now > model.told_from + GRACE:
-                wrong.append(now)
-            now = min(end, now + STEP)
+            if not freshness.is_stale(now) and now > model.notified_from + DRAIN_GRACE:
+                violations.append(now)
+            now = min(end, now + CHECK_INTERVAL)
         if event in ("news", "nothing"):
-            fresh.call_succeeded(began, now)
+            freshness.call_succeeded(began, now)
             model.answered(now)
         elif event == "moved":
-            fresh.discovery_address_changed(now)
-            model.moved(now)
+            freshness.discovery_address_changed(now)
+            model.address_changed(now)
         elif event == "unreachable":
-            fresh.call_failed(CallFailure.UNREACHABLE, began, now)
+            freshness.call_failed(CallFailure.UNREACHABLE, began, now)
             model.unreachable(began)
         else:
-            fresh.call_failed(CallFailure(event.split(" ")[0]), began, now)
+            freshness.call_failed(CallFailure(event.split(" ")[0]), began, now)
             model.failed(now)
     for _ in range(60):
-        if not fresh.is_stale(now) and now > model.told_from + GRACE:
-            wrong.append(now)
-        now += STEP
-    return wrong
+        if not freshness.is_stale(now) and now > model.notified_from + DRAIN_GRACE:
+            violations.append(now)
+        now += CHECK_INTERVAL
+    return violations
 
 
 @pytest.mark.parametrize("instances", [1, 210])
-def test_nothing_is_routed_by_a_list_that_may_be_out_of_date_in_any_order_of_events(instances: int) -> None:
-    orders = (order for length in range(1, LONGEST + 1) for order in product(EVENTS, repeat=length))
-    wrong = {order: found for order in orders if (found := play(order, instances, len(order)))}
-    assert not wrong, dict(list(wrong.items())[:3])
+def test_stale_list_is_not_used_in_any_order_of_call_results(instances: int) -> None:
+    orders = (order for length in range(1, MAX_EVENTS + 1) for order in product(EVENTS, repeat=length))
+    violations = {
+        order: times for order in orders if (times := find_violations(order, instances, len(order)))
+    }
+    assert not violations, dict(list(violations.items())[:3])
 
 
-def test_a_planted_defect_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_model_finds_a_list_that_is_used_beyond_its_notification_time(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(module, "NOTIFIED_AFTER_SECONDS", 9.0)
-    assert play(("news", "silent", "refused"), 1, 0)
+    assert find_violations(("news", "silent", "refused"), 1, 0)
 
 
-def test_a_list_that_is_answered_for_stays_fresh() -> None:
-    fresh = EndpointFreshness(210, Random(1), 0.0)
-    now = fresh.next_call.not_before
+def test_list_stays_fresh_while_calls_succeed() -> None:
+    freshness = EndpointFreshness(210, Random(1), 0.0)
+    now = freshness.next_call.not_before
     for _ in range(1000):
-        began = fresh.next_call.not_before
-        now = began + fresh.next_call.wait
-        assert not fresh.is_stale(now)
-        fresh.call_succeeded(began, now)
-        assert fresh.state(now) is EndpointListState.FRESH
+        began = freshness.next_call.not_before
+        now = began + freshness.next_call.wait
+        assert not freshness.is_stale(now)
+        freshness.call_succeeded(began, now)
+        assert freshness.state(now) is EndpointListState.FRESH
 
 
-def test_a_watch_is_continued_within_the_time_that_keeps_it_and_never_in_a_tight_loop() -> None:
+def test_watch_is_continued_in_time_and_never_in_a_tight_loop() -> None:
     """The users' page: a watch goes on if its next call comes within 200 ms of the answer."""
-    fresh = EndpointFreshness(1, Random(1), 0.0)
-    fresh.call_succeeded(0.0, 0.0)
-    assert 0.05 <= fresh.next_call.not_before <= 0.15 and fresh.next_call.continues_watch
-    fresh.call_succeeded(1.0, 3.0)
-    assert fresh.next_call.not_before == 3.0 and fresh.next_call.continues_watch
+    freshness = EndpointFreshness(1, Random(1), 0.0)
+    freshness.call_succeeded(0.0, 0.0)
+    assert 0.05 <= freshness.next_call.not_before <= 0.15 and freshness.next_call.continues_watch
+    freshness.call_succeeded(1.0, 3.0)
+    assert freshness.next_call.not_before == 3.0 and freshness.next_call.continues_watch
 
 
-def test_instances_refused_together_come_back_apart_and_ever_later() -> None:
+def test_refused_instances_back_off_with_jitter_and_doubling_delays() -> None:
     """Discovery spends its time on refused calls too: a crowd that comes back together never ends."""
     fleet = [EndpointFreshness(210, Random(seed), 0.0) for seed in range(400)]
     spreads = []
     for _ in range(4):
-        at = []
-        for one in fleet:
-            one.call_failed(CallFailure.REFUSED, one.next_call.not_before, 10.0)
-            at.append(one.next_call.not_before - 10.0)
-        spreads.append((min(at), max(at)))
+        delays_of_round = []
+        for instance in fleet:
+            instance.call_failed(CallFailure.REFUSED, instance.next_call.not_before, 10.0)
+            delays_of_round.append(instance.next_call.not_before - 10.0)
+        spreads.append((min(delays_of_round), max(delays_of_round)))
     assert [round(high / low) for low, high in spreads] == [3, 3, 3, 3]
     assert spreads[0][0] >= 2.9 and spreads[1][0] >= 5.9 and spreads[2][0] >= 11.8
     assert spreads[3] == pytest.approx(spreads[2], rel=0.1)
 
 
-def test_an_answer_that_flows_is_waited_for_and_one_that_stalls_is_not() -> None:
-    planned = EndpointFreshness(1, Random(1), 0.0).next_call
-    assert response_deadline(planned, 10.0, -inf, inf) == 10.0 + planned.silence_timeout
-    assert response_deadline(planned, 10.0, 14.4, 12.0) == 15.4
-    assert response_deadline(planned, 10.0, 40.0, 12.0) == 27.0
+def test_response_that_makes_progress_is_awaited_and_stalled_one_is_not() -> None:
+    call = EndpointFreshness(1, Random(1), 0.0).next_call
+    assert response_deadline(call, 10.0, -inf, inf) == 10.0 + call.silence_timeout
+    assert response_deadline(call, 10.0, 14.4, 12.0) == 15.4
+    assert response_deadline(call, 10.0, 40.0, 12.0) == 27.0
 
 
 @pytest.mark.parametrize(
-    ("failure", "took", "instances"),
+    ("failure", "duration", "instances"),
     [(CallFailure.BROKEN, 0.3, 1), (CallFailure.BROKEN, 0.3, 210), (CallFailure.REFUSED, 2.0, 1)],
 )
 def test_discovery_that_is_back_is_called_within_the_time_that_a_list_is_good_for(
-    failure: CallFailure, took: float, instances: int
+    failure: CallFailure, duration: float, instances: int
 ) -> None:
     """Guards against requests rejected long after discovery is well, by pauses that cheap calls doubled."""
-    back_after, waits = 30.0, []
+    recovered_at, delays = 30.0, []
     for seed in range(300):
-        fresh, now = EndpointFreshness(instances, Random(seed), 0.0), 0.0
-        while fresh.next_call.not_before < back_after:
-            began = fresh.next_call.not_before
-            now = began + took
-            fresh.call_failed(failure, began, now)
-        waits.append(fresh.next_call.not_before - back_after)
-    assert max(waits) <= DUE and sum(waits) / len(waits) <= DUE / 3
+        freshness, now = EndpointFreshness(instances, Random(seed), 0.0), 0.0
+        while freshness.next_call.not_before < recovered_at:
+            began = freshness.next_call.not_before
+            now = began + duration
+            freshness.call_failed(failure, began, now)
+        delays.append(freshness.next_call.not_before - recovered_at)
+    assert max(delays) <= NOTIFIED_AFTER and sum(delays) / len(delays) <= NOTIFIED_AFTER / 3
--- a/tests/decisions/test_exposure.py
+++ b/tests/decisions/test_exposure.py
@@ -5,7 +5,7 @@
 from tests.support.decisions import RouterHarness
 
 
-def test_after_a_restart_nothing_goes_to_a_candidate_for_one_window() -> None:
+def test_candidate_gets_no_attempt_for_one_window_after_a_restart() -> None:
     for restarted in (True, False):
         harness = RouterHarness(restarted=restarted)
         harness.list_servers({"b0": 2})
--- a/tests/decisions/test_load_balancing.py
+++ b/tests/decisions/test_load_balancing.py
@@ -6,14 +6,14 @@
 from tests.support.decisions import released_harness, send_requests
 
 
-def test_many_instances_do_not_all_fill_their_own_zone() -> None:
+def test_instances_of_a_large_fleet_do_not_send_only_to_their_own_zone() -> None:
     harness = released_harness({f"{zone}{n}": 1 for zone in "abc" for n in range(20)}, instance_count=400)
     send_requests(harness, 200)
-    own = sum(server.startswith("a") for _, server, _ in harness.forwarded)
-    assert 66 < own < 180
+    own_zone_count = sum(server.startswith("a") for _, server, _ in harness.forwarded)
+    assert 66 < own_zone_count < 180
 
 
-def test_slow_zone_is_left_out_and_tried_again() -> None:
+def test_slow_zone_is_avoided_and_used_again_later() -> None:
     harness = released_harness(
         {f"{zone}{n}": 1 for zone in "ab" for n in range(20)}, instance_count=400, max_attempts=1
     )
@@ -26,11 +26,11 @@
     assert any(server.startswith("b") for _, server, _ in harness.forwarded)
 
 
-def test_open_connections_are_preferred_while_new_ones_fail() -> None:
+def test_servers_with_open_connections_are_preferred_while_connects_fail() -> None:
     harness = released_harness({f"a{n}": 1 for n in range(40)}, instance_count=400)
     send_requests(harness, 20)
-    linked = {server for _, server, _ in harness.forwarded}
+    connected_servers = {server for _, server, _ in harness.forwarded}
     harness.router.connections.failure_share = 0.5
     harness.forwarded.clear()
     send_requests(harness, 10)
-    assert {server for _, server, _ in harness.forwarded} <= linked
+    assert {server for _, server, _ in harness.forwarded} <= connected_servers
--- a/tests/decisions/test_outlier_ejection.py
+++ b/tests/decisions/test_outlier_ejection.py
@@ -6,7 +6,7 @@
 from tests.support.decisions import released_harness, send_requests
 
 
-def test_silent_server_is_ejected_and_tried_again() -> None:
+def test_server_that_times_out_is_ejected_and_used_again_later() -> None:
     harness = released_harness({"a0": 1, "a1": 1})
     send_requests(harness, 10, "a0", Outcome.TIMEOUT, 1.0)
     assert sum(server == "a0" for _, server, _ in harness.forwarded) <= 2
--- a/tests/decisions/test_router.py
+++ b/tests/decisions/test_router.py
@@ -13,11 +13,11 @@
     for number in range(2000):
         harness.end_attempt(harness.accept("look", f"k{number}"))
         harness.advance_clock(0.05)
-    router, ledger = harness.router, harness.router.exposure.windows[""]
+    router, window = harness.router, harness.router.exposure.windows[""]
     sizes = [
-        len(ledger.requests),
-        len(ledger.attempts[1]),
-        len(router.slow_start.answered_at),
+        len(window.request_times),
+        len(window.attempt_times_by_build[1]),
+        len(router.slow_start.completed_at),
         len(router.affinity.last_build_by_key),
     ]
     assert max(sizes) <= 200
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("one_way", [False, True])
-def test_memory_is_bounded_while_build_follows_build(one_way: bool) -> None:
+def test_memory_is_bounded_over_many_releases(one_way: bool) -> None:
     """Guards against what is kept by build or by key that met one: an instance may live through hundreds."""
     harness = RouterHarness(one_way=one_way, exposure_slack=1e9)
     for build in range(2, 30):
@@ -37,7 +37,9 @@
         harness.set_release(build=build, stage=2, phase=ReleasePhase.RELEASED, cap=1.0)
         harness.advance_clock(6.0)
     router = harness.router
-    assert len(router.concurrency.by_build) <= 3 and len(router.exposure.windows[""].attempts) <= 3
+    assert (
+        len(router.concurrency.by_build) <= 3 and len(router.exposure.windows[""].attempt_times_by_build) <= 3
+    )
     assert len(router.affinity.last_build_by_key) == (
         28 * 20 if one_way else 20
     )  # where keys may not go back, each one counts
--- a/tests/decisions/test_router_against_model.py
+++ b/tests/decisions/test_router_against_model.py
@@ -20,35 +20,40 @@
 from gullmount.decisions.requests import Request
 from tests.support.decisions import ROUTES, RouterHarness
 
-PROVES_UNRUN = {Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.EXPIRED}
-TAKEN_OFF = {ReleasePhase.ROLLING_BACK, ReleasePhase.ROLLED_BACK}
+NOT_EXECUTED_OUTCOMES = {Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.EXPIRED}
+ROLLBACK_PHASES = {ReleasePhase.ROLLING_BACK, ReleasePhase.ROLLED_BACK}
 NAMES = ["a1", "a2", "b1", "b2"]
 
-steps = st.one_of(
-    st.tuples(st.just("take"), st.sampled_from(sorted(ROUTES)), st.sampled_from([None, "b0", "b1", "b2"])),
-    st.tuples(st.just("end"), st.integers(0, 9), st.sampled_from(list(Outcome))),
-    st.tuples(st.just("end"), st.integers(0, 9), st.just(Outcome.COMPLETED)),
-    st.tuples(st.just("burst"), st.sampled_from(sorted(ROUTES)), st.integers(2, 8)),
-    st.tuples(st.just("leave"), st.integers(0, 9)),
+step_strategy = st.one_of(
+    st.tuples(
+        st.just("accept_request"), st.sampled_from(sorted(ROUTES)), st.sampled_from([None, "b0", "b1", "b2"])
+    ),
+    st.tuples(st.just("end_attempt"), st.integers(0, 9), st.sampled_from(list(Outcome))),
+    st.tuples(st.just("end_attempt"), st.integers(0, 9), st.just(Outcome.COMPLETED)),
+    st.tuples(st.just("accept_burst"), st.sampled_from(sorted(ROUTES)), st.integers(2, 8)),
+    st.tuples(st.just("disconnect_client"), st.integers(0, 9)),
     st.tuples(st.just("wait"), st.sampled_from([0.01, 0.3, 0.6, 3.5])),
     st.tuples(
-        st.just("list"), st.sampled_from(NAMES), st.sampled_from(list(EndpointState)), st.integers(1, 3)
+        st.just("list"),
+        st.sampled_from(NAMES),
+        st.sampled_from(list(EndpointState)),
+        st.integers(1, 3),
     ),
     st.tuples(st.just("news"), st.integers(2, 3), st.sampled_from(list(ReleasePhase)), st.integers(0, 2)),
 )
 
 
 @dataclass
-class Made:
+class AttemptRecord:
     """One try as the model knows it."""
 
-    box: str
-    at: float
+    server_name: str
+    sent_at: float
     build: int  # that it was sent to
     key: str | None
-    listed_as: int  # the latest of its box while that stayed listed
-    stays: bool = True
-    told_back: bool = False  # the build was sent back meanwhile
+    listed_build: int  # the latest of its box while that stayed listed
+    still_listed: bool = True
+    rolled_back: bool = False  # the build was sent back meanwhile
     outcome: Outcome | None = None
 
 
@@ -57,98 +62,138 @@
 
     def __init__(self, harness: RouterHarness) -> None:
         self.harness = harness
-        self.terms = harness.router.settings.release
-        self.boxes: dict[str, tuple[int, EndpointState]] = {}
-        self.trials: dict[int, tuple[ReleasePhase, int, float]] = {-1: (ReleasePhase.RELEASED, 0, 0.0)}
-        self.taken: list[tuple[float, str]] = []
-        self.sent: list[tuple[float, str, int]] = []
-        self.tries: dict[str, list[Made]] = {}
-        self.over: set[str] = set()
-        self.met: dict[str, int] = {}
-
-    def may_have_run(self, req: Request) -> list[Made]:
-        return [made for made in self.tries[req.id] if made.outcome not in PROVES_UNRUN]
-
-    def out(self) -> list[Made]:
-        return [made for tries in self.tries.values() for made in tries if made.outcome is None]
-
-    def permits(self, req: Request, name: str) -> bool:
+        self.release_settings = harness.router.settings.release
+        self.listed_servers: dict[str, tuple[int, EndpointState]] = {}
+        self.known_releases: dict[int, tuple[ReleasePhase, int, float]] = {
+            -1: (ReleasePhase.RELEASED, 0, 0.0)
+        }
+        self.accepted_requests: list[tuple[float, str]] = []
+        self.sent_attempts: list[tuple[float, str, int]] = []
+        self.attempt_records: dict[str, list[AttemptRecord]] = {}
+        self.settled_request_ids: set[str] = set()
+        self.last_build_by_key: dict[str, int] = {}
+
+    def possible_executions(self, request: Request) -> list[AttemptRecord]:
+        return [
+            record
+            for record in self.attempt_records[request.id]
+            if record.outcome not in NOT_EXECUTED_OUTCOMES
+        ]
+
+    def records_in_flight(self) -> list[AttemptRecord]:
+        return [
+            record
+            for attempt_records in self.attempt_records.values()
+            for record in attempt_records
+            if record.outcome is None
+        ]
+
+    def permits(self, request: Request, name: str) -> bool:
         now = self.harness.clock
-        build, state = self.boxes[name]
-        if req.id in self.over or state is not EndpointState.READY:
+        build, state = self.listed_servers[name]
+        if request.id in self.settled_request_ids or state is not EndpointState.READY:
             return False
-        tries = self.tries[req.id]
-        out = [made for made in tries if made.outcome is None]
-        if out or len(tries) >= 4:
+        attempt_records = self.attempt_records[request.id]
+        in_flight = [record for record in attempt_records if record.outcome is None]
+        if in_flight or len(attempt_records) >= 4:
             return False
-        ran = self.may_have_run(req)
-        route = req.route
-        if ran and route.retry_safety is RetrySafety.AT_MOST_ONCE:
+        executions = self.possible_executions(request)
+        route = request.route
+        if executions and route.retry_safety is RetrySafety.AT_MOST_ONCE:
             return False
-        if ran and route.retry_safety is RetrySafety.DEDUPLICATED:
-            if now >= ran[0].at + route.deduplication_window:
+        if executions and route.retry_safety is RetrySafety.DEDUPLICATED:
+            if now >= executions[0].sent_at + route.deduplication_window:
                 return False
-            if route.deduplication_scope is DeduplicationScope.ZONE and ran[0].box[0] != name[0]:
+            if (
+                route.deduplication_scope is DeduplicationScope.ZONE
+                and executions[0].server_name[0] != name[0]
+            ):
                 return False
-        return self.exposure_permits(req, build, now)
-
-    def exposure_permits(self, req: Request, build: int, now: float) -> bool:
-        if self.terms.one_way and req.key:
-            out = {made.build for made in self.out() if made.key == req.key and not made.told_back}
-            if self.met.get(req.key, -1) > build or out - {build}:
+        return self.permits_build(request, build, now)
+
+    def permits_build(self, request: Request, build: int, now: float) -> bool:
+        if self.release_settings.one_way and request.key:
+            in_flight = {
+                record.build
+                for record in self.records_in_flight()
+                if record.key == request.key and not record.rolled_back
+            }
+            if self.last_build_by_key.get(request.key, -1) > build or in_flight - {build}:
                 return False  # two tries at two builds may be answered and arrive in any order
-        if build in self.trials:
-            phase, stage, cap = self.trials[build]
-        elif build > max(self.trials):
-            phase, stage, cap = ReleasePhase.CANDIDATE, 0, self.terms.exposure_limits[0]
+        if build in self.known_releases:
+            phase, stage, exposure_limit = self.known_releases[build]
+        elif build > max(self.known_releases):
+            phase, stage, exposure_limit = ReleasePhase.CANDIDATE, 0, self.release_settings.exposure_limits[0]
         else:
             return True
         if phase is ReleasePhase.RELEASED:
             return True
-        if cap <= 0 or (
-            stage < self.terms.idempotent_only_stages and req.route.retry_safety is not RetrySafety.IDEMPOTENT
+        if exposure_limit <= 0 or (
+            stage < self.release_settings.idempotent_only_stages
+            and request.route.retry_safety is not RetrySafety.IDEMPOTENT
         ):
             return False
-        since = now - self.terms.exposure_window
-        counts = [name for name in ROUTES if not self.terms.counted_by_route or name == req.route.name]
-        sends = sum(at >= since and rev == build and route in counts for at, route, rev in self.sent)
-        reqs = sum(at > since and route in counts for at, route in self.taken)
-        return sends + 1 <= self.terms.exposure_slack + cap * reqs
+        since = now - self.release_settings.exposure_window
+        counted_routes = [
+            route_name
+            for route_name in ROUTES
+            if not self.release_settings.counted_by_route or route_name == request.route.name
+        ]
+        attempt_count = sum(
+            sent_at >= since and other_build == build and route in counted_routes
+            for sent_at, route, other_build in self.sent_attempts
+        )
+        accepted_count = sum(
+            accepted_at > since and route in counted_routes for accepted_at, route in self.accepted_requests
+        )
+        return attempt_count + 1 <= self.release_settings.exposure_slack + exposure_limit * accepted_count
 
-    def news(self, build: int, phase: ReleasePhase, stage: int, cap: float) -> None:
+    def update_release(self, build: int, phase: ReleasePhase, stage: int, exposure_limit: float) -> None:
         """Two may stand where told; what ended is forgotten when a build is heard of first. One that was
         taken off stays so."""
-        if build not in self.trials:
-            if build < max(self.trials) and (
-                self.terms.concurrent_candidates == 1 or phase is not ReleasePhase.CANDIDATE
+        if build not in self.known_releases:
+            if build < max(self.known_releases) and (
+                self.release_settings.concurrent_candidates == 1 or phase is not ReleasePhase.CANDIDATE
             ):
                 return
-            standing = (ReleasePhase.CANDIDATE, ReleasePhase.ROLLING_BACK)
-            both = self.terms.concurrent_candidates > 1
-            self.trials = {rev: told for rev, told in self.trials.items() if both and told[0] in standing}
-        elif self.trials[build][0] in TAKEN_OFF and phase not in TAKEN_OFF:
+            unfinished_phases = (ReleasePhase.CANDIDATE, ReleasePhase.ROLLING_BACK)
+            several_candidates = self.release_settings.concurrent_candidates > 1
+            self.known_releases = {
+                other_build: status
+                for other_build, status in self.known_releases.items()
+                if several_candidates and status[0] in unfinished_phases
+            }
+        elif self.known_releases[build][0] in ROLLBACK_PHASES and phase not in ROLLBACK_PHASES:
             return  # old news, read late: no build comes back
-        self.trials[build] = phase, stage, cap
-        if phase in TAKEN_OFF:
-            self.met = {key: met for key, met in self.met.items() if met != build}
-            for made in self.out():
-                made.told_back = made.told_back or made.build == build
-
-    def ended(self, made: Made, outcome: Outcome) -> None:
+        self.known_releases[build] = phase, stage, exposure_limit
+        if phase in ROLLBACK_PHASES:
+            self.last_build_by_key = {
+                key: served for key, served in self.last_build_by_key.items() if served != build
+            }
+            for record in self.records_in_flight():
+                record.rolled_back = record.rolled_back or record.build == build
+
+    def record_end(self, record: AttemptRecord, outcome: Outcome) -> None:
         """Whether the key met the build; where keys may not go back, also by an answer that was not heard."""
-        made.outcome = outcome
-        phases = {phase for phase, _, _ in self.trials.values()}
-        tracked, build, met = ReleasePhase.CANDIDATE in phases, made.build, outcome is Outcome.COMPLETED
-        if self.terms.one_way:
-            build = max(build, made.listed_as)
-            tracked = tracked or ReleasePhase.RELEASED in phases or build > max(self.trials)
-            met = outcome not in {*PROVES_UNRUN, Outcome.ERROR}
-        if made.key and tracked and met:
-            self.met[made.key] = max(build, self.met.get(made.key, -1))
-
-    def may_shed(self, req: Request) -> bool:
-        route = req.route
-        if not self.may_have_run(req) or route.retry_safety is RetrySafety.IDEMPOTENT:
+        record.outcome = outcome
+        phases = {phase for phase, _, _ in self.known_releases.values()}
+        records_build, build, served = (
+            ReleasePhase.CANDIDATE in phases,
+            record.build,
+            outcome is Outcome.COMPLETED,
+        )
+        if self.release_settings.one_way:
+            build = max(build, record.listed_build)
+            records_build = (
+                records_build or ReleasePhase.RELEASED in phases or build > max(self.known_releases)
+            )
+            served = outcome not in {*NOT_EXECUTED_OUTCOMES, Outcome.ERROR}
+        if record.key and records_build and served:
+            self.last_build_by_key[record.key] = max(build, self.last_build_by_key.get(record.key, -1))
+
+    def may_reject(self, request: Request) -> bool:
+        route = request.route
+        if not self.possible_executions(request) or route.retry_safety is RetrySafety.IDEMPOTENT:
             return True
         return (
             route.retry_safety is RetrySafety.DEDUPLICATED
@@ -159,99 +204,111 @@
 class Play:
     """Feeds the same steps to the module and the model and holds the one against the other."""
 
-    def __init__(self, **terms: object) -> None:
-        self.harness = RouterHarness(**terms)
+    def __init__(self, **settings_changes: object) -> None:
+        self.harness = RouterHarness(**settings_changes)
         self.model = Model(self.harness)
         self.reqs: list[Request] = []
         self.seen = 0
         self.umpire = self.harness.router
-        self.umpire.allowed = self.watch(self.umpire.allowed)
+        self.umpire.allowed = self.checked_against_model(self.umpire.allowed)
         self.umpire.traffic_split.update = lambda now: None  # `news` sets the shares, so that all are in use
-        self.harness.forward = self.on_send
-        self.harness.reject = lambda req, _: self.on_answer(req, "shed")
-        self.harness.fail = lambda req: self.on_answer(req, "error")
+        self.harness.forward = self.on_forward
+        self.harness.reject = lambda request, _: self.on_response(request, "shed")
+        self.harness.fail = lambda request: self.on_response(request, "error")
 
-    def watch(self, gate):
-        def watched(req: Request, box: Server, now: float, builds: dict[int, bool]) -> bool:
+    def checked_against_model(self, gate):
+        def checked(request: Request, server: Server, now: float, builds: dict[int, bool]) -> bool:
             if not isinstance(builds, AllowedBuilds):
-                builds = self.umpire.allowed_builds(req, now)
-            answer = gate(req, box, now, builds)
-            assert answer is self.model.permits(req, box.id)
-            return answer
-
-        return watched
-
-    def find(self, req_id: str) -> Request:
-        return next((req for req in self.reqs if req.id == req_id), self.coming)
-
-    def on_send(self, req_id: str, name: str, patience: float) -> None:
-        req = self.find(req_id)
-        assert self.model.permits(req, name)
-        assert self.harness.clock + patience <= req.deadline + 1e-9
-        build = self.model.boxes[name][0]
-        self.model.tries[req_id].append(Made(name, self.harness.clock, build, req.key, build))
-        self.model.sent.append((self.harness.clock, req.route.name, build))
-
-    def on_answer(self, req_id: str, answer: str) -> None:
-        assert req_id not in self.model.over
-        assert answer == "error" or self.model.may_shed(self.find(req_id))
-        self.model.over.add(req_id)
-
-    def take(self, route: str, key: str | None) -> None:
-        self.model.taken.append((self.harness.clock, route))
-        req_id = f"r{self.harness.request_count + 1}"
-        self.model.tries[req_id] = []
-        self.coming = Request(self.umpire, req_id, ROUTES[route], self.harness.clock + 6.0, key, 0.0)
+                builds = self.umpire.allowed_builds(request, now)
+            is_allowed = gate(request, server, now, builds)
+            assert is_allowed is self.model.permits(request, server.id)
+            return is_allowed
+
+        return checked
+
+    def find_request(self, request_id: str) -> Request:
+        return next(
+            (request for request in self.reqs if request.id == request_id), self.request_being_accepted
+        )
+
+    def on_forward(self, request_id: str, name: str, timeout: float) -> None:
+        request = self.find_request(request_id)
+        assert self.model.permits(request, name)
+        assert self.harness.clock + timeout <= request.deadline + 1e-9
+        build = self.model.listed_servers[name][0]
+        self.model.attempt_records[request_id].append(
+            AttemptRecord(name, self.harness.clock, build, request.key, build)
+        )
+        self.model.sent_attempts.append((self.harness.clock, request.route.name, build))
+
+    def on_response(self, request_id: str, response: str) -> None:
+        assert request_id not in self.model.settled_request_ids
+        assert response == "error" or self.model.may_reject(self.find_request(request_id))
+        self.model.settled_request_ids.add(request_id)
+
+    def accept_request(self, route: str, key: str | None) -> None:
+        self.model.accepted_requests.append((self.harness.clock, route))
+        request_id = f"r{self.harness.request_count + 1}"
+        self.model.attempt_records[request_id] = []
+        self.request_being_accepted = Request(
+            self.umpire, request_id, ROUTES[route], self.harness.clock + 6.0, key, 0.0
+        )
         self.reqs.append(self.harness.accept(route, key, 6.0))
 
-    def burst(self, route: str, count: int) -> None:
+    def accept_burst(self, route: str, count: int) -> None:
         for number in range(count):
-            self.take(route, f"b{number}")
+            self.accept_request(route, f"b{number}")
 
-    def end(self, index: int, outcome: Outcome) -> None:
-        out = [req for req in self.reqs if req.attempts_in_flight]
-        if not out:
+    def end_attempt(self, index: int, outcome: Outcome) -> None:
+        in_flight = [request for request in self.reqs if request.attempts_in_flight]
+        if not in_flight:
             return
-        req = out[index % len(out)]
-        made = self.model.tries[req.id][-1]
-        final = outcome is Outcome.COMPLETED or req.id in self.model.over
+        request = in_flight[index % len(in_flight)]
+        record = self.model.attempt_records[request.id][-1]
+        final = outcome is Outcome.COMPLETED or request.id in self.model.settled_request_ids
         if final:
-            self.model.over.add(req.id)
-        self.model.ended(made, outcome)
-        self.harness.forwarded.append((req.id, made.box, 0.0))
-        req.attempt_ended(len(req.attempts) - 1, outcome, 0.1, final)
-        assert final or req.id in self.model.over or req.attempts_in_flight, "neither answered nor sent on"
+            self.model.settled_request_ids.add(request.id)
+        self.model.record_end(record, outcome)
+        self.harness.forwarded.append((request.id, record.server_name, 0.0))
+        request.attempt_ended(len(request.attempts) - 1, outcome, 0.1, final)
+        assert final or request.id in self.model.settled_request_ids or request.attempts_in_flight, (
+            "neither answered nor sent on"
+        )
 
-    def leave(self, index: int) -> None:
+    def disconnect_client(self, index: int) -> None:
         if self.reqs:
-            req = self.reqs[index % len(self.reqs)]
-            self.model.over.add(req.id)
-            req.client_left()
+            request = self.reqs[index % len(self.reqs)]
+            self.model.settled_request_ids.add(request.id)
+            request.client_left()
 
     def wait(self, span: float) -> None:
         self.harness.advance_clock(span)
 
     def list(self, name: str, state: EndpointState, build: int) -> None:
         if state is EndpointState.REMOVED:
-            self.model.boxes.pop(name, None)
+            self.model.listed_servers.pop(name, None)
         else:
-            self.model.boxes[name] = (build, state)
-        for made in [made for made in self.model.out() if made.box == name]:
-            made.stays = made.stays and state is not EndpointState.REMOVED
-            made.listed_as = build if made.stays else made.listed_as
+            self.model.listed_servers[name] = (build, state)
+        for record in [record for record in self.model.records_in_flight() if record.server_name == name]:
+            record.still_listed = record.still_listed and state is not EndpointState.REMOVED
+            record.listed_build = build if record.still_listed else record.listed_build
         self.harness.list_servers({name: build}, EndpointUpdateKind.UPDATE, state=state)
 
     def news(self, build: int, phase: ReleasePhase, stage: int) -> None:
-        cap = self.model.terms.exposure_limits[stage] if phase is not ReleasePhase.ROLLING_BACK else 0.0
-        self.model.news(build, phase, stage, cap)
-        self.harness.set_release(stage, phase, cap, build)
-        for end, trial in enumerate(self.umpire.releases.candidates[-2:]):
-            trial.hash_end, trial.traffic_share = end, 0.45
+        exposure_limit = (
+            self.model.release_settings.exposure_limits[stage]
+            if phase is not ReleasePhase.ROLLING_BACK
+            else 0.0
+        )
+        self.model.update_release(build, phase, stage, exposure_limit)
+        self.harness.set_release(stage, phase, exposure_limit, build)
+        for hash_range_end, candidate in enumerate(self.umpire.releases.candidates[-2:]):
+            candidate.hash_end, candidate.traffic_share = hash_range_end, 0.45
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(
-    st.lists(steps, min_size=30, max_size=80),
+    st.lists(step_strategy, min_size=30, max_size=80),
     st.booleans(),
     st.booleans(),
     st.integers(0, 2),
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -6,7 +6,7 @@
 from tests.support.decisions import BASELINE, RouterHarness, released_harness, send_requests
 
 
-def test_warming_server_gets_nothing_in_an_overload_without_answers() -> None:
+def test_warming_server_gets_no_attempt_while_no_attempt_completes() -> None:
     harness = RouterHarness(max_attempts=1)
     harness.list_servers(BASELINE)
     harness.advance_clock(10.0)
@@ -17,7 +17,7 @@
     assert sum(server == "a9" for _, server, _ in harness.forwarded) == 0
 
 
-def test_new_server_gets_no_free_attempt_from_each_instance() -> None:
+def test_new_server_gets_no_attempt_when_it_is_listed() -> None:
     """81 of 172 umpires sent one request each to a server in the moment it was listed, and it fell over."""
     for seed in range(20):
         harness = released_harness({"a0": 1}, max_attempts=1, instance_count=172, seed=seed)
--- a/tests/support/decisions.py
+++ b/tests/support/decisions.py
@@ -68,10 +68,10 @@
             (release if name in release else instance)[name] = value
         self.clock = 100.0
         self.forwarded: list[tuple[str, str, float]] = []
-        self.answers: dict[str, list[str]] = {}
+        self.responses: dict[str, list[str]] = {}
         self.votes: list[tuple[int, int, Vote]] = []
         self.gossiped: list[tuple[int, int, int, Vote]] = []
-        self.watches = 0
+        self.watch_calls = 0
         self.timers: list[tuple[float, int, Callable[[], None]]] = []
         self.request_count = 0
         self.router = Router(
@@ -85,10 +85,10 @@
         self.forwarded.append((request_id, server_id, timeout))
 
     def reject(self, request_id: str, retry_after: float) -> None:
-        self.answers.setdefault(request_id, []).append("rejected")
+        self.responses.setdefault(request_id, []).append("rejected")
 
     def fail(self, request_id: str) -> None:
-        self.answers.setdefault(request_id, []).append("failed")
+        self.responses.setdefault(request_id, []).append("failed")
 
     def call_after(self, delay: float, callback: Callable[[], None]) -> None:
         self.timers.append((self.clock + delay, len(self.timers), callback))
@@ -100,7 +100,7 @@
         self.gossiped.append((peer, build, stage, vote))
 
     def watch_endpoints(self) -> None:
-        self.watches += 1
+        self.watch_calls += 1
 
     def log(self, text: str) -> None:
         pass
@@ -130,9 +130,9 @@
     ) -> None:
         self.router.update_release(build, stage, phase, cap)
 
-    def accept(self, route: str = "look", key: str | None = None, patience: float = 3.0) -> Request:
+    def accept(self, route: str = "look", key: str | None = None, request_timeout: float = 3.0) -> Request:
         self.request_count += 1
-        return self.router.accept(f"r{self.request_count}", route, self.clock + patience, key)
+        return self.router.accept(f"r{self.request_count}", route, self.clock + request_timeout, key)
 
     def end_attempt(
         self, request: Request, outcome: Outcome = Outcome.COMPLETED, latency: float = 0.1
@@ -171,23 +171,32 @@
 
 
 def send_requests(
-    harness: RouterHarness, count: int, bad: str = "none", outcome: Outcome = OK, latency: float = 0.1
+    harness: RouterHarness,
+    count: int,
+    failing_prefix: str = "none",
+    outcome: Outcome = OK,
+    latency: float = 0.1,
 ) -> None:
     """Accept requests one by one; attempts at servers of that name or zone end badly, the others well."""
     for _ in range(count):
         request = harness.accept("pay")
-        fails = bool(request.attempts) and request.attempts[-1].server.id.startswith(bad)
-        harness.end_attempt(request, outcome if fails else OK, latency if fails else 0.1)
+        failing = bool(request.attempts) and request.attempts[-1].server.id.startswith(failing_prefix)
+        harness.end_attempt(request, outcome if failing else OK, latency if failing else 0.1)
         harness.advance_clock(0.1)
 
 
 def add_samples(
-    harness: RouterHarness, build: int, slowness: float, count: int, span: float = 8.0, start: float = 0.0
+    harness: RouterHarness,
+    build: int,
+    latency_factor: float,
+    count: int,
+    span: float = 8.0,
+    start: float = 0.0,
 ) -> None:
     """Add samples of a build, spread evenly over the span, with times of one skewed distribution."""
     draw = random.Random(build).lognormvariate
     times = sorted(
-        (harness.clock + start + span * n / count, slowness * draw(-2.0, 0.8)) for n in range(count)
+        (harness.clock + start + span * n / count, latency_factor * draw(-2.0, 0.8)) for n in range(count)
     )
     harness.router.canary.samples[build, "look"].extend(
         AttemptSample(at, time, False, "b0") for at, time in times
