--- a/benchmarks/attribution_outcomes.py
+++ b/benchmarks/attribution_outcomes.py
@@ -22,7 +22,7 @@
 from gullmount.scenarios.config import ScenarioConfig
 from gullmount.scenarios.loopback import loopback_block
 from gullmount.scenarios.runner import run_scenario
-from gullmount.yamlfile import read
+from gullmount.yamlfile import read_yaml
 
 CASES = Path(__file__).parent.parent / "days" / "blame"
 EXPOSURE_RULE = 4  # place of the checker's finding on exposure
@@ -90,7 +90,7 @@
 
 def play(case: str, seed: int, virtual: bool) -> CaseResult:
     """Run one case."""
-    terms = read(CASES / f"{case}.yaml", ScenarioConfig)
+    terms = read_yaml(CASES / f"{case}.yaml", ScenarioConfig)
     about, lines = run_scenario(terms, seed, virtual, loopback_block(os.getpid()))
     events = [json.loads(line) for line in lines.splitlines()]
     findings = check(about, events)
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -41,7 +41,7 @@
 from gullmount.scale.process_usage import process_usage
 from gullmount.scenarios.loopback import loopback_block
 from gullmount.scenarios.virtual_time import run_in_virtual_time
-from gullmount.yamlfile import read
+from gullmount.yamlfile import read_yaml
 
 ROOT = Path(__file__).parent.parent
 SCRIPT = ROOT / "days" / "failures" / "short.yaml"
@@ -193,7 +193,7 @@
     at = 2.0 + Random(seed).random() * 2
     where = "keepers" if kind == "cut" else ""
     fault = {"at": at, "do": kind, "who": "owner", "where": where, "length": SCENARIO_SECONDS}
-    told = read(SCRIPT, HarnessConfig).model_dump(by_alias=True) | {
+    told = read_yaml(SCRIPT, HarnessConfig).model_dump(by_alias=True) | {
         "length": 9,
         "faults": [fault],
         "probers": 0,
--- a/benchmarks/timed_proxy.py
+++ b/benchmarks/timed_proxy.py
@@ -19,7 +19,7 @@
 from gullmount.decisions.router import Router
 from gullmount.net import TcpNet
 from gullmount.proxy import ProxyConfig, ProxyInstance
-from gullmount.yamlfile import read
+from gullmount.yamlfile import read_yaml
 
 TIMED_METHODS = ("accept", "attempt_ended", "evaluate")
 
@@ -55,7 +55,7 @@
     timer = DecisionTimer()
     for name in TIMED_METHODS:
         setattr(Router, name, timer.wrap(getattr(Router, name)))
-    configuration = read(Path(path), ProxyConfig)
+    configuration = read_yaml(Path(path), ProxyConfig)
     with anyio.open_signal_receiver(signal.SIGUSR1) as signals:
         async with ProxyInstance(configuration, net=TcpNet()):
             async for _ in signals:
--- a/gullmount/consensus/config.py
+++ b/gullmount/consensus/config.py
@@ -8,7 +8,7 @@
 
 from gullmount.errors import GullmountError
 from gullmount.net.types import parse_address
-from gullmount.yamlfile import Described
+from gullmount.yamlfile import YamlModel
 
 GROUP_SIZES = (3, 4, 5)  # three bear the loss of one, five of two; four are on their way
 
@@ -61,7 +61,7 @@
         raise DuplicateAddressError(twice)
 
 
-class ReplicaConfig(Described):
+class ReplicaConfig(YamlModel):
     """One replica's file.
 
     Attributes:
--- a/gullmount/distribution/config.py
+++ b/gullmount/distribution/config.py
@@ -13,7 +13,7 @@
 from gullmount.decisions.model import InstanceSettings
 from gullmount.errors import GullmountError
 from gullmount.proxy.config import Address, DiscoveryConfig, ProxyConfig
-from gullmount.yamlfile import Described
+from gullmount.yamlfile import YamlModel
 
 UNUSED_ADDRESS = "127.0.0.1:1"  # of a discovery service that is never asked
 Name = Annotated[str, Field(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9._-]+$")]
@@ -66,7 +66,7 @@
     return ", ".join(sorted({name for name in names if names.count(name) > 1}))
 
 
-class OriginConfig(Described):
+class OriginConfig(YamlModel):
     """The origin's file: its relays by name, with the zone of each, and what it stores."""
 
     listen: Address
@@ -86,7 +86,7 @@
         return relays
 
 
-class RelayConfig(Described):
+class RelayConfig(YamlModel):
     """A relay's file: which it is, the origin that it subscribes to, and where it listens."""
 
     name: Name
@@ -115,7 +115,7 @@
         return self
 
 
-class RelayEntry(Described):
+class RelayEntry(YamlModel):
     """A relay as a proxy's file names it."""
 
     name: Name
@@ -123,7 +123,7 @@
     zone: Name
 
 
-class SubscriptionConfig(Described):
+class SubscriptionConfig(YamlModel):
     """The section `relays` of a proxy's file. Nothing of it is done unless `switched_on`."""
 
     switched_on: bool = False
--- a/gullmount/fault_harness/config.py
+++ b/gullmount/fault_harness/config.py
@@ -13,7 +13,7 @@
 
 from gullmount.errors import GullmountError
 from gullmount.scenarios.config import ScenarioConfig
-from gullmount.yamlfile import Described
+from gullmount.yamlfile import YamlModel
 
 # What a fault may name: one proxy, one replica, or a word for several or for a service.
 TARGET = re.compile(r"(umpire|keeper) (\d+)|(umpires|keepers|owner|receiver|roster|launcher|boxes)")
@@ -119,7 +119,7 @@
         super().__init__(f"faults.{index}: there is no {name}")
 
 
-class ReplicasConfig(Described):
+class ReplicasConfig(YamlModel):
     """How many replicas there are.
 
     Attributes:
@@ -131,7 +131,7 @@
     spares: Annotated[int, Field(ge=0, le=4, alias="spare")] = 0
 
 
-class LeaseTimesConfig(Described):
+class LeaseTimesConfig(YamlModel):
     """The times of leases, as in a proxy instance's file.
 
     Attributes:
@@ -152,7 +152,7 @@
     return [name.strip() for name in text.split(",") if name.strip()]
 
 
-class FaultConfig(Described):
+class FaultConfig(YamlModel):
     """One fault.
 
     kill, term, stop: the process is killed, stopped gracefully, or paused, and comes back after `duration`
@@ -211,7 +211,7 @@
         return self
 
 
-class DrawnFaultsConfig(Described):
+class DrawnFaultsConfig(YamlModel):
     """Faults that the seed draws, besides those of the file.
 
     Attributes:
--- a/gullmount/leases/config.py
+++ b/gullmount/leases/config.py
@@ -9,7 +9,7 @@
 from gullmount.consensus.config import Address, Members, validate_members
 from gullmount.errors import GullmountError
 from gullmount.proxy import ProxyConfig
-from gullmount.yamlfile import Described
+from gullmount.yamlfile import YamlModel
 
 MIN_MARGINS_PER_TERM = 4.0  # between renewal and end two may fail
 
@@ -32,7 +32,7 @@
         super().__init__(f"answer_within is {answer_within}: half a term or more")
 
 
-class AnnouncementConfig(Described):
+class AnnouncementConfig(YamlModel):
     """Where the leader announces itself.
 
     Attributes:
@@ -44,7 +44,7 @@
     every: PositiveFloat = 1.0
 
 
-class LeaseConfig(Described):
+class LeaseConfig(YamlModel):
     """The section `ownership`.
 
     Attributes:
--- a/gullmount/proxy/config.py
+++ b/gullmount/proxy/config.py
@@ -28,7 +28,7 @@
     LatencyObjectiveError,
     ReservedRouteNameError,
 )
-from gullmount.yamlfile import Described
+from gullmount.yamlfile import YamlModel
 
 # Suffix for the name of the variant of a route that serves requests which cannot be sent twice.
 AT_MOST_ONCE_SUFFIX = " once"
@@ -62,7 +62,7 @@
 NonNegativeInt = Annotated[int, Field(ge=0)]
 
 
-class RouteMatch(Described):
+class RouteMatch(YamlModel):
     """Selects the requests of a route; each condition that is set must match.
 
     Attributes:
@@ -85,7 +85,7 @@
         return re.compile(pattern_text + re.escape(parts[-1]) + r"(\?.*)?", re.ASCII | re.DOTALL)
 
 
-class RouteConfig(Described):
+class RouteConfig(YamlModel):
     """One route.
 
     Attributes:
@@ -130,7 +130,7 @@
         return Route(name, self.objective, retry_safety, self.group, deduplication_window)
 
 
-class AffinityKeyConfig(Described):
+class AffinityKeyConfig(YamlModel):
     """Where to find a request's affinity key; the first place that has one counts.
 
     Attributes:
@@ -144,7 +144,7 @@
     segment: NonNegativeInt | None = None
 
 
-class DownstreamConfig(Described):
+class DownstreamConfig(YamlModel):
     """Limits on clients and their connections.
 
     Attributes:
@@ -170,7 +170,7 @@
     write_within: PositiveFloat = 10.0
 
 
-class UpstreamConfig(Described):
+class UpstreamConfig(YamlModel):
     """Limits on servers and their connections.
 
     Attributes:
@@ -196,7 +196,7 @@
     not_begun_header: HeaderName = "x-not-begun"
 
 
-class ReleaseConfig(Described):
+class ReleaseConfig(YamlModel):
     """How builds are exposed and what votes cause.
 
     `release_settings` maps the fields to those of `ReleaseSettings`, which are documented there.
@@ -235,28 +235,28 @@
         )
 
 
-class DiscoveryConfig(Described):
+class DiscoveryConfig(YamlModel):
     """Address of discovery, and when it is watched: `push` from the start, `ask` at the router's request."""
 
     address: Address
     how: Literal["push", "ask"] = "push"
 
 
-class ReleaseControllerConfig(Described):
+class ReleaseControllerConfig(YamlModel):
     """Address of the release controller and its response timeout for votes, in seconds."""
 
     address: Address
     answer_within: PositiveFloat = 2.0
 
 
-class PeerConfig(Described):
+class PeerConfig(YamlModel):
     """Address at which this instance receives gossip, and the addresses of all instances by number."""
 
     listen: Address
     addresses: dict[NonNegativeInt, Address]
 
 
-class ProxyConfig(Described):
+class ProxyConfig(YamlModel):
     """The configuration file.
 
     Attributes:
--- a/gullmount/scale/fleet/config.py
+++ b/gullmount/scale/fleet/config.py
@@ -13,7 +13,7 @@
 from pydantic import Field, PositiveFloat, PositiveInt, model_validator
 
 from gullmount.scale.fleet.errors import InvalidFleetError
-from gullmount.yamlfile import Described
+from gullmount.yamlfile import YamlModel
 
 NotNegative = Annotated[float, Field(ge=0)]
 Count = Annotated[int, Field(ge=0)]
@@ -35,7 +35,7 @@
     KILL_RELAY = "kill_relay"
 
 
-class PhaseConfig(Described):
+class PhaseConfig(YamlModel):
     """A part of the run with its own rates of change, drawn as independent arrivals."""
 
     name: Annotated[str, Field(min_length=1, max_length=40)]
@@ -45,7 +45,7 @@
     servers_at_start: Annotated[Count, Field(alias="boxes_at_once")] = 0  # changes at once, as a lost zone
 
 
-class FaultConfig(Described):
+class FaultConfig(YamlModel):
     """What is done to a control process, `at` s after the first phase's start."""
 
     at: NotNegative
@@ -53,7 +53,7 @@
     relay: Count = 0
 
 
-class FleetConfig(Described):
+class FleetConfig(YamlModel):
     """One fleet. Sizes are of the complete fleet; rates are of the complete fleet too, at any size."""
 
     name: Annotated[str, Field(min_length=1, max_length=60)]
--- a/gullmount/scenarios/config.py
+++ b/gullmount/scenarios/config.py
@@ -17,14 +17,14 @@
     UnknownRouteError,
     UnknownZoneError,
 )
-from gullmount.yamlfile import Described
+from gullmount.yamlfile import YamlModel
 
 Share = Annotated[float, Field(ge=0, le=1)]
 Count = Annotated[int, Field(ge=0)]
 Range = tuple[NonNegativeFloat, NonNegativeFloat]
 
 
-class LinksConfig(Described):
+class LinksConfig(YamlModel):
     """The network between the processes.
 
     Attributes:
@@ -42,7 +42,7 @@
     message_loss: Share = 0.0
 
 
-class ProxiesConfig(Described):
+class ProxiesConfig(YamlModel):
     """The proxy instances.
 
     Attributes:
@@ -56,7 +56,7 @@
     may_tell: bool = False
 
 
-class ServersConfig(Described):
+class ServersConfig(YamlModel):
     """The servers.
 
     Proxy instances are configured with `cold_share` and `warm_time`; the true values are drawn from a range
@@ -97,7 +97,7 @@
     drain_time: PositiveFloat = 2.0
 
 
-class LoadConfig(Described):
+class LoadConfig(YamlModel):
     """The traffic.
 
     Attributes:
@@ -113,7 +113,7 @@
     key_skew: NonNegativeFloat = 0.6
 
 
-class ClientsConfig(Described):
+class ClientsConfig(YamlModel):
     """How clients behave.
 
     Attributes:
@@ -133,7 +133,7 @@
     impatient: Share = 0.0
 
 
-class ScenarioRouteConfig(Described):
+class ScenarioRouteConfig(YamlModel):
     """A route: what clients send on it, and what proxy instances are configured with.
 
     Attributes:
@@ -164,7 +164,7 @@
     late_payoff: Share = 0.2
 
 
-class DiscoveryEmulatorConfig(Described):
+class DiscoveryEmulatorConfig(YamlModel):
     """How discovery learns of servers and sends updates.
 
     Attributes:
@@ -184,7 +184,7 @@
     refuse: Share = 0.0
 
 
-class ReleaseControllerEmulatorConfig(Described):
+class ReleaseControllerEmulatorConfig(YamlModel):
     """How the release controller offers builds, counts votes and sends release statuses.
 
     Attributes:
@@ -236,7 +236,7 @@
         return self
 
 
-class RulesConfig(Described):
+class RulesConfig(YamlModel):
     """The figures of the rules that the checker and, in part, the proxy instances go by.
 
     Attributes:
@@ -266,7 +266,7 @@
     connect_within: PositiveFloat = 0.25
 
 
-class CandidateConfig(Described):
+class CandidateConfig(YamlModel):
     """A build that is offered for release.
 
     Attributes:
@@ -314,7 +314,7 @@
     ZONE_LOSS = "zone_lost"
 
 
-class FaultConfig(Described):
+class FaultConfig(YamlModel):
     """Something that goes wrong; docs/scenarios.md says what each kind makes of the figures.
 
     Attributes:
@@ -341,7 +341,7 @@
     build: Count = 0
 
 
-class ScenarioConfig(Described):
+class ScenarioConfig(YamlModel):
     """A scenario.
 
     Attributes:
--- a/gullmount/yamlfile.py
+++ b/gullmount/yamlfile.py
@@ -16,7 +16,7 @@
 Model = TypeVar("Model", bound=BaseModel)
 
 
-class Described(BaseModel):
+class YamlModel(BaseModel):
     """Base of all that is described in YAML: unknown keys are faults, nothing changes after the start."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=False, allow_inf_nan=False)
@@ -53,7 +53,7 @@
     return tree
 
 
-def parse(text: str, name: str, model: type[Model]) -> Model:
+def parse_yaml(text: str, name: str, model: type[Model]) -> Model:
     """Decode `text` into `model`; raises InvalidFileError. `name` stands for the file in what is said."""
     if text.count("[") + text.count("{") > MOST // 16:
         raise InvalidFileError(f"{name}:1: too many brackets for a description")
@@ -99,7 +99,7 @@
     return said
 
 
-def read(path: Path, model: type[Model]) -> Model:
+def read_yaml(path: Path, model: type[Model]) -> Model:
     """Read and decode a file; raises InvalidFileError for whatever is wrong with it."""
     try:
         with path.open("rb") as file:
@@ -111,4 +111,4 @@
         raise InvalidFileError(f"{path}: {fault.strerror}") from None
     except UnicodeDecodeError as fault:
         raise InvalidFileError(f"{path}:1: not UTF-8 at byte {fault.start}") from None
-    return parse(text, str(path), model)
+    return parse_yaml(text, str(path), model)
--- a/tests/consensus/test_config.py
+++ b/tests/consensus/test_config.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gullmount.consensus.config import ReplicaConfig
-from gullmount.yamlfile import InvalidFileError, parse
+from gullmount.yamlfile import InvalidFileError, parse_yaml
 
 
 @pytest.mark.parametrize(
@@ -22,4 +22,4 @@
     lines[change.partition(":")[0]] = change
     text = "\n".join([*lines.values(), "group: g", "disk: d"])
     with pytest.raises(InvalidFileError, match=said):
-        parse(text, "keeper.yaml", ReplicaConfig)
+        parse_yaml(text, "keeper.yaml", ReplicaConfig)
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -20,7 +20,7 @@
 )
 from gullmount.consensus.membership import ReplicaGroup
 from gullmount.consensus.storage import FILE_NAME, SqliteStorage
-from gullmount.yamlfile import read
+from gullmount.yamlfile import read_yaml
 from tests.support.paths import DATA
 from tests.support.replicas import MEMBERS
 
@@ -58,7 +58,7 @@
 def test_what_an_earlier_version_stored_is_read_alike(number: int, tmp_path: Path) -> None:
     shutil.copytree(STORED / f"replica-{number}", tmp_path, dirs_exist_ok=True)
     expected = AS_READ[str(number)]
-    config = read(tmp_path / "replica.yaml", ReplicaConfig)
+    config = read_yaml(tmp_path / "replica.yaml", ReplicaConfig)
     assert (config.number, config.group, config.members, config.disk) == (number, "g", MEMBERS, "disk")
     assert config.listen == f"10.0.0.{number}:7299"
     storage = SqliteStorage(tmp_path)
--- a/tests/decisions/attribution/test_attribution_scenarios.py
+++ b/tests/decisions/attribution/test_attribution_scenarios.py
@@ -12,7 +12,7 @@
 from gullmount.decisions.attribution.attribution import Attribution
 from gullmount.scenarios.config import ScenarioConfig
 from gullmount.scenarios.runner import run_scenario
-from gullmount.yamlfile import read
+from gullmount.yamlfile import read_yaml
 from tests.support.paths import DAYS as ALL_DAYS
 from tests.support.scenarios import breaches
 
@@ -32,7 +32,7 @@
 
 
 def played(case: str, seed: int = 2, **changes: Any) -> tuple[AttributionOutcome, list[str]]:
-    terms = read(DAYS / f"{case}.yaml", ScenarioConfig).model_copy(update=changes)
+    terms = read_yaml(DAYS / f"{case}.yaml", ScenarioConfig).model_copy(update=changes)
     about, lines = run_scenario(terms, seed, True, "127.98")
     events = [msgspec.json.decode(line) for line in lines.splitlines()]
     return attribution_outcome(about, events), breaches(check(about, events))
--- a/tests/distribution/test_config.py
+++ b/tests/distribution/test_config.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gullmount.distribution.config import OriginConfig, RelayConfig, SubscribedProxyConfig
-from gullmount.yamlfile import InvalidFileError, parse
+from gullmount.yamlfile import InvalidFileError, parse_yaml
 from tests.support.proxy_edge import make_proxy_config as proxy_terms
 
 ORIGIN_FILE = """\
@@ -48,9 +48,9 @@
 def test_bad_origin_or_relay_file_names_line_and_key(
     model: type, text: str, line: str, other: str, said: str
 ) -> None:
-    parse(text, "file", model)
+    parse_yaml(text, "file", model)
     with pytest.raises(InvalidFileError, match=said):
-        parse(text.replace(line, other, 1), "file", model)
+        parse_yaml(text.replace(line, other, 1), "file", model)
 
 
 def proxy_file(section: str) -> str:
@@ -67,7 +67,7 @@
         (f'{{"switched_on": false, {AT}, "services": ["pay"]}}', False),
         (f'{{"switched_on": true, {AT}, "services": ["pay"]}}', True),
     ):
-        assert parse(proxy_file(section), "umpire.yaml", SubscribedProxyConfig).subscribes == follows
+        assert parse_yaml(proxy_file(section), "umpire.yaml", SubscribedProxyConfig).subscribes == follows
 
 
 @pytest.mark.parametrize(
@@ -92,16 +92,16 @@
 )
 def test_bad_section_names_line_and_key(section: str, said: str) -> None:
     with pytest.raises(InvalidFileError, match=said):
-        parse(proxy_file(section), "umpire.yaml", SubscribedProxyConfig)
+        parse_yaml(proxy_file(section), "umpire.yaml", SubscribedProxyConfig)
 
 
 def test_discovery_is_not_needed_where_relays_are_subscribed_to() -> None:
     told = proxy_terms().model_dump(mode="json")
     del told["roster"]
     on = {"switched_on": True, **json.loads(f"{{{AT}}}"), "services": ["pay"]}
-    parse(json.dumps({**told, "relays": on}), "umpire.yaml", SubscribedProxyConfig)
+    parse_yaml(json.dumps({**told, "relays": on}), "umpire.yaml", SubscribedProxyConfig)
     with pytest.raises(InvalidFileError, match="roster: Field required"):
-        parse(
+        parse_yaml(
             json.dumps({**told, "relays": {**on, "switched_on": False}}), "umpire.yaml", SubscribedProxyConfig
         )
 
--- a/tests/fault_harness/test_config.py
+++ b/tests/fault_harness/test_config.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gullmount.fault_harness.config import HarnessConfig
-from gullmount.yamlfile import InvalidFileError, parse
+from gullmount.yamlfile import InvalidFileError, parse_yaml
 from tests.support.harness_scripts import SCRIPTS
 
 
@@ -23,6 +23,6 @@
 def test_error_of_an_invalid_fault_names_line_and_key(fault: str, message: str) -> None:
     text = (SCRIPTS / "short.yaml").read_text() + f"  - {fault}\n"
     with pytest.raises(InvalidFileError) as raised:
-        parse(text, "short.yaml", HarnessConfig)
+        parse_yaml(text, "short.yaml", HarnessConfig)
     error = str(raised.value)
     assert message in error and "short.yaml:" in error and "faults" in error
--- a/tests/leases/test_config.py
+++ b/tests/leases/test_config.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gullmount.leases.config import LeasingProxyConfig
-from gullmount.yamlfile import InvalidFileError, parse
+from gullmount.yamlfile import InvalidFileError, parse_yaml
 from tests.support.proxy_edge import make_proxy_config as umpire_terms
 
 
@@ -25,7 +25,7 @@
         (f'{{"keepers": {members}, "switched_on": false}}', False),
         (f'{{"keepers": {members}, "switched_on": true}}', True),
     ):
-        assert parse(owned_file(section), "umpire.yaml", LeasingProxyConfig).takes_leases == owns
+        assert parse_yaml(owned_file(section), "umpire.yaml", LeasingProxyConfig).takes_leases == owns
 
 
 @pytest.mark.parametrize(
@@ -40,7 +40,7 @@
 def test_bad_sections_name_line_and_key(change: str, said: str) -> None:
     section = '{"keepers": {"1": "a:1", "2": "b:1", "3": "c:1"},\n' + change + "}"
     with pytest.raises(InvalidFileError, match=said):
-        parse(owned_file(section), "umpire.yaml", LeasingProxyConfig)
+        parse_yaml(owned_file(section), "umpire.yaml", LeasingProxyConfig)
 
 
 def test_the_platform_loads_nothing_of_leases() -> None:
--- a/tests/proxy/test_streaming_fuzz.py
+++ b/tests/proxy/test_streaming_fuzz.py
@@ -15,7 +15,7 @@
 from gullmount.net import Net, Stream
 from gullmount.proxy import ProxyConfig
 from gullmount.scenarios.config import ScenarioConfig
-from gullmount.yamlfile import InvalidFileError, parse, read
+from gullmount.yamlfile import InvalidFileError, parse_yaml, read_yaml
 from tests.support.paths import ROOT
 from tests.support.proxy_edge import OK_RESPONSE, make_proxy_config, proxy_fixture, run_with_net
 
@@ -125,7 +125,7 @@
 @given(st.text(max_size=200))
 def test_any_text_as_proxy_configuration_raises_invalid_file_error(text: str) -> None:
     with pytest.raises(InvalidFileError, match="any:"):
-        parse(text, "any", ProxyConfig)
+        parse_yaml(text, "any", ProxyConfig)
 
 
 @reproducible
@@ -139,7 +139,7 @@
     key = scenario_lines[index].split(":")[0]
     text = "\n".join([*scenario_lines[:index], f"{key}: {value}", *scenario_lines[index + 1 :]])
     try:
-        parse(text, "day.yaml", ScenarioConfig)
+        parse_yaml(text, "day.yaml", ScenarioConfig)
     except InvalidFileError as error:
         assert all(line.startswith("day.yaml:") for line in str(error).splitlines())
 
@@ -163,7 +163,7 @@
     document: str, line: int, words: list[str]
 ) -> None:
     with pytest.raises(InvalidFileError) as caught:
-        parse(document, "u.yaml", ProxyConfig)
+        parse_yaml(document, "u.yaml", ProxyConfig)
     messages = [
         message for message in str(caught.value).splitlines() if message.startswith(f"u.yaml:{line}: ")
     ]
@@ -173,10 +173,10 @@
 def test_configuration_round_trips_and_unreadable_file_is_reported(tmp_path: Path) -> None:
     path = tmp_path / "u.yaml"
     path.write_text(make_proxy_config().model_dump_json())
-    assert read(path, ProxyConfig) == make_proxy_config()
+    assert read_yaml(path, ProxyConfig) == make_proxy_config()
     for content, words in ((b"\xff\xfe\x00", "UTF-8"), (b"a: 1\n" * 300_000, "larger")):
         path.write_bytes(content)
         with pytest.raises(InvalidFileError, match=words):
-            read(path, ProxyConfig)
+            read_yaml(path, ProxyConfig)
     with pytest.raises(InvalidFileError, match="No such file"):
-        read(tmp_path / "none.yaml", ProxyConfig)
+        read_yaml(tmp_path / "none.yaml", ProxyConfig)
--- a/tests/scale/fleet/test_config.py
+++ b/tests/scale/fleet/test_config.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gullmount.scale.fleet.config import FleetConfig
-from gullmount.yamlfile import InvalidFileError, parse, read
+from gullmount.yamlfile import InvalidFileError, parse_yaml, read_yaml
 from tests.support.fleet_records import SMALL, TARGET
 
 
@@ -28,12 +28,12 @@
     text = SMALL.read_text()
     kept = [old for old in text.splitlines() if not old.startswith((f"{key}:", "faults:", "  - {at"))]
     with pytest.raises(InvalidFileError, match=problem) as error:
-        parse("\n".join([*kept, line]), "fleet.yaml", FleetConfig)
+        parse_yaml("\n".join([*kept, line]), "fleet.yaml", FleetConfig)
     assert str(error.value).startswith("fleet.yaml:")
 
 
 def test_target_file_has_the_target_within_the_limits_of_the_machine() -> None:
-    fleet = read(TARGET, FleetConfig)
+    fleet = read_yaml(TARGET, FleetConfig)
     assert (fleet.proxies, fleet.servers, fleet.services) == (7300, 140_000, 5500)
     assert (fleet.zones, fleet.regions) == (31, 10) and 31 <= fleet.relays <= 37
     assert fleet.processes <= 300 and fleet.max_memory_gib <= 12
@@ -47,10 +47,10 @@
 
 @pytest.mark.parametrize(("proxies", "zones"), [(230, 1), (2300, 10), (7300, 31)])
 def test_resized_fleet_has_zones_as_full_and_the_same_rates(proxies: int, zones: int) -> None:
-    fleet = read(TARGET, FleetConfig).resized(proxies)
+    fleet = read_yaml(TARGET, FleetConfig).resized(proxies)
     assert fleet.zones == zones and fleet.relays > zones  # one of them may be killed
     assert fleet.servers / fleet.proxies == pytest.approx(140_000 / 7300, rel=0.01)
     assert fleet.services / fleet.proxies == pytest.approx(5500 / 7300, rel=0.01)
     assert [phase.configuration_rate for phase in fleet.phases] == [
-        phase.configuration_rate for phase in read(TARGET, FleetConfig).phases
+        phase.configuration_rate for phase in read_yaml(TARGET, FleetConfig).phases
     ]
--- a/tests/scale/fleet/test_run.py
+++ b/tests/scale/fleet/test_run.py
@@ -21,7 +21,7 @@
 from gullmount.scale.fleet.config import FleetConfig
 from gullmount.scale.fleet.digests import digest_changes
 from gullmount.scale.fleet.drawn_fleet import DrawnFleet
-from gullmount.yamlfile import read
+from gullmount.yamlfile import read_yaml
 from tests.support.fleet_records import SMALL
 from tests.support.paths import ROOT
 
@@ -48,8 +48,8 @@
     results = json.loads((out / "results.json").read_text())
     assert ended.exit_code == 0, [run["checks"] for run in results["runs"]]
     assert all(held(results).values())
-    assert results["schedule"] == digest_changes(DrawnFleet(read(SMALL, FleetConfig), 7).changes)
-    assert [run["way"] for run in results["runs"]] == list(read(SMALL, FleetConfig).deliveries)
+    assert results["schedule"] == digest_changes(DrawnFleet(read_yaml(SMALL, FleetConfig), 7).changes)
+    assert [run["way"] for run in results["runs"]] == list(read_yaml(SMALL, FleetConfig).deliveries)
     for run in results["runs"]:
         assert run["reached"] and run["phases"][-1]["never"] == 0
         assert sum(phase["all"]["count"] for phase in run["phases"])
--- a/tests/scenarios/test_config.py
+++ b/tests/scenarios/test_config.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gullmount.scenarios.config import FaultKind, ScenarioConfig
-from gullmount.yamlfile import InvalidFileError, parse
+from gullmount.yamlfile import InvalidFileError, parse_yaml
 from tests.support.paths import DAYS
 
 FIRST = (DAYS / "first.yaml").read_text()
@@ -38,9 +38,9 @@
 )
 def test_wrong_section_is_refused_with_its_key_and_the_reason(section: str, words: str) -> None:
     text = without_sections(FIRST, "releases", "troubles", "launcher")
-    assert parse(text, "scenario.yaml", ScenarioConfig).troubles == []
+    assert parse_yaml(text, "scenario.yaml", ScenarioConfig).troubles == []
     with pytest.raises(InvalidFileError) as error:
-        parse(text + section, "scenario.yaml", ScenarioConfig)
+        parse_yaml(text + section, "scenario.yaml", ScenarioConfig)
     assert words in str(error.value)
 
 
--- a/tests/scenarios/test_simulator_import.py
+++ b/tests/scenarios/test_simulator_import.py
@@ -13,7 +13,7 @@
 from gullmount.commands.scenarios import scenario
 from gullmount.scenarios.config import ScenarioConfig
 from gullmount.scenarios.simulator_import import import_scenario, scenario_yaml
-from gullmount.yamlfile import parse
+from gullmount.yamlfile import parse_yaml
 
 CLASSES: list[dict[str, Any]] = [
     {"name": "read", "effect": "safe", "share": 0.7, "work": 9000, "io": 1000, "cv": 0.5, "aim": 60000}
@@ -176,7 +176,7 @@
 
 def test_yaml_of_an_import_reads_back_alike() -> None:
     config, _ = imported(troubles=[fault("crash", 1_000_000)])
-    assert parse(scenario_yaml(config), "scenario.yaml", ScenarioConfig) == config
+    assert parse_yaml(scenario_yaml(config), "scenario.yaml", ScenarioConfig) == config
 
 
 def import_file(data: bytes, folder: Path) -> Result:
@@ -190,7 +190,7 @@
     assert result.exit_code == 0
     assert result.stderr == "left out: tenants: customers' shares are not played\n"
     written = (tmp_path / "day.yaml").read_text()
-    assert parse(written, "day.yaml", ScenarioConfig) == imported()[0]
+    assert parse_yaml(written, "day.yaml", ScenarioConfig) == imported()[0]
 
 
 def without(*names: str) -> Callable[[], bytes]:
--- a/tests/support/fleet_records.py
+++ b/tests/support/fleet_records.py
@@ -11,7 +11,7 @@
 from gullmount.scale.fleet.drawn_fleet import DrawnFleet
 from gullmount.scale.fleet.process_messages import MadeChange
 from gullmount.scale.fleet.run_record import RunRecord, UsageSample
-from gullmount.yamlfile import read
+from gullmount.yamlfile import read_yaml
 from tests.support.paths import ROOT
 
 SMALL = ROOT / "days" / "scale" / "small.yaml"
@@ -21,7 +21,7 @@
 
 def small_fleet(**changes: Any) -> FleetConfig:
     """The small fleet with other values of the file's keys."""
-    return FleetConfig.model_validate(read(SMALL, FleetConfig).as_file() | changes)
+    return FleetConfig.model_validate(read_yaml(SMALL, FleetConfig).as_file() | changes)
 
 
 def made_change(index: int, topic: str, version: tuple[int, int] | None, sent_at: float = 0.0) -> MadeChange:
--- a/tests/support/harness_scripts.py
+++ b/tests/support/harness_scripts.py
@@ -9,7 +9,7 @@
 from gullmount.checker.owners import check_owners
 from gullmount.fault_harness.config import HarnessConfig
 from gullmount.fault_harness.run import run
-from gullmount.yamlfile import read
+from gullmount.yamlfile import read_yaml
 from tests.support.paths import DAYS
 
 SCRIPTS = DAYS / "failures"
@@ -18,7 +18,7 @@
 
 
 def read_script(name: str) -> HarnessConfig:
-    return read(SCRIPTS / f"{name}.yaml", HarnessConfig)
+    return read_yaml(SCRIPTS / f"{name}.yaml", HarnessConfig)
 
 
 def changed_script(name: str, **changes: Any) -> HarnessConfig:
--- a/tests/support/scenarios.py
+++ b/tests/support/scenarios.py
@@ -9,7 +9,7 @@
 from gullmount.proxy.instance import ProxyInstance
 from gullmount.scenarios.config import ScenarioConfig
 from gullmount.scenarios.runner import run_scenario
-from gullmount.yamlfile import read
+from gullmount.yamlfile import read_yaml
 from tests.support.fault_block import own_block
 from tests.support.paths import DAYS
 
@@ -21,7 +21,7 @@
 ) -> tuple[list[Finding], Summary, bytes]:
     """Return the checker's findings, the summary and the record's lines of a play; `name` is the file's."""
     block = VIRTUAL_BLOCK if virtual else own_block()
-    scenario = read(DAYS / f"{name}.yaml", ScenarioConfig)
+    scenario = read_yaml(DAYS / f"{name}.yaml", ScenarioConfig)
     about, lines = run_scenario(scenario, seed, virtual, block, proxy_class)
     events = [msgspec.json.decode(line) for line in lines.splitlines()]
     return check(about, events), summarize(about, events), lines
