--- a/gullmount/consensus/client.py
+++ b/gullmount/consensus/client.py
@@ -14,7 +14,7 @@
 from gullmount.consensus.membership import GROUP, group_from_register
 from gullmount.consensus.messages import RegisterAnswer, RegisterLine, RegisterRequest, encode
 from gullmount.consensus.registers import ChangeResult, RegisterValue
-from gullmount.net import Streams
+from gullmount.net import StreamNet
 from gullmount.rpc import (
     CallError,
     ConnectError,
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        net: Streams,
+        net: StreamNet,
         addresses: list[str],
         random: Random,
         answer_timeout_seconds: float,
--- a/gullmount/consensus/group_client.py
+++ b/gullmount/consensus/group_client.py
@@ -9,7 +9,7 @@
 from gullmount.consensus.errors import GroupChangeRejectedError, NoReplicaError, OutcomeUnknownError
 from gullmount.consensus.membership import Members, ReplicaGroup, group_from
 from gullmount.consensus.messages import GroupAnswer, GroupRequest, encode
-from gullmount.net import Streams
+from gullmount.net import StreamNet
 from gullmount.rpc import CallError, ConnectError, InvalidMessageError, call, decode_as
 
 POLL_INTERVAL_SECONDS = 0.2  # while a change is under way
@@ -26,7 +26,7 @@
         answer_timeout_seconds: for one call.
     """
 
-    def __init__(self, net: Streams, addresses: list[str], answer_timeout_seconds: float) -> None:
+    def __init__(self, net: StreamNet, addresses: list[str], answer_timeout_seconds: float) -> None:
         self.net = net
         self.addresses = list(addresses)
         self.answer_timeout_seconds = answer_timeout_seconds
--- a/gullmount/consensus/peers.py
+++ b/gullmount/consensus/peers.py
@@ -16,7 +16,7 @@
     RejectedAnswer,
     encode,
 )
-from gullmount.net import Streams
+from gullmount.net import StreamNet
 from gullmount.rpc import CallError, ConnectionPool, InvalidMessageError, convert, decode_message
 
 PEER_PATH = "/v1/keeper"
@@ -26,7 +26,7 @@
 class PeerClient:
     """Requests over kept connections; a request that comes twice is answered twice alike."""
 
-    def __init__(self, config: ReplicaConfig, net: Streams, acceptor: LocalAcceptor, log: Log) -> None:
+    def __init__(self, config: ReplicaConfig, net: StreamNet, acceptor: LocalAcceptor, log: Log) -> None:
         self.config = config
         self.acceptor = acceptor
         self.log = log
--- a/gullmount/consensus/replica.py
+++ b/gullmount/consensus/replica.py
@@ -21,7 +21,7 @@
 from gullmount.consensus.proposer import Proposer
 from gullmount.consensus.server import RequestServer
 from gullmount.consensus.storage import Storage
-from gullmount.net import Streams
+from gullmount.net import StreamNet
 
 
 class Replica:
@@ -31,7 +31,7 @@
         self,
         config: ReplicaConfig,
         *,
-        net: Streams,
+        net: StreamNet,
         storage: Storage,
         random: Random,
         log: Log = no_log,
--- a/gullmount/distribution/origin.py
+++ b/gullmount/distribution/origin.py
@@ -38,7 +38,7 @@
 from gullmount.distribution.topic_store import MAX_TOPIC_BYTES, TopicStore
 from gullmount.distribution.topic_update import EntryChange
 from gullmount.distribution.versions import Version
-from gullmount.net import Streams
+from gullmount.net import StreamNet
 from gullmount.rpc import Request, Response
 
 HEARTBEAT_SECONDS = 1.0  # relays' as_of goes by these lines
@@ -52,7 +52,7 @@
         self,
         config: OriginConfig,
         *,
-        network: Streams,
+        network: StreamNet,
         storage: OriginStorage,
         log: Log = no_log,
         clock: Callable[[], float] = anyio.current_time,
--- a/gullmount/distribution/relay.py
+++ b/gullmount/distribution/relay.py
@@ -30,7 +30,7 @@
 from gullmount.distribution.topic_store import TopicStore
 from gullmount.distribution.update_receiver import LineResult
 from gullmount.distribution.versions import NO_VERSION
-from gullmount.net import Streams
+from gullmount.net import StreamNet
 from gullmount.rpc import CallError, ConnectionPool, Request, Response
 
 HEARTBEAT_SECONDS = 2.0  # a third of the silence after which a subscriber gives up
@@ -51,7 +51,7 @@
         self,
         config: RelayConfig,
         *,
-        network: Streams,
+        network: StreamNet,
         random: Random,
         log: Log = no_log,
         clock: Callable[[], float] = anyio.current_time,
--- a/gullmount/distribution/streams.py
+++ b/gullmount/distribution/streams.py
@@ -10,7 +10,7 @@
 from anyio.abc import SocketAttribute
 
 from gullmount.distribution.update_receiver import SubscriberCounters
-from gullmount.net import Datagrams, Stream, Streams
+from gullmount.net import DatagramSocket, Stream, StreamNet
 
 WRITE_CHUNK_BYTES = 65536  # handed to the network at once; each chunk has its own time
 WRITE_TIMEOUT_SECONDS = 10.0  # in which the network takes a chunk
@@ -115,7 +115,7 @@
 class CountedNetwork:
     """A network whose connections' bytes are counted; lives as long as its subscriber."""
 
-    def __init__(self, network: Streams, counters: SubscriberCounters) -> None:
+    def __init__(self, network: StreamNet, counters: SubscriberCounters) -> None:
         """Count `network`'s connections in `counters`."""
         self.network = network
         self.counters = counters
@@ -130,6 +130,6 @@
         """As the network's."""
         await self.network.serve(address, handler, started)
 
-    async def datagrams(self, address: str) -> Datagrams:
+    async def datagrams(self, address: str) -> DatagramSocket:
         """As the network's."""
         return await self.network.datagrams(address)
--- a/gullmount/distribution/subscribed_proxy.py
+++ b/gullmount/distribution/subscribed_proxy.py
@@ -26,7 +26,7 @@
 from gullmount.distribution.route_table import RouteTable, parse_routes
 from gullmount.distribution.subscriber import RememberedTopic, Subscriber
 from gullmount.distribution.subscription_client import Log, no_log
-from gullmount.net import Streams
+from gullmount.net import StreamNet
 from gullmount.proxy import NullStateStore, ProxyInstance, StateStore
 from gullmount.proxy.generic_adapter import GenericAdapter
 from gullmount.rpc import InvalidMessageError
@@ -63,7 +63,7 @@
         inner: WrappedProxy,
         running: ProxyInstance,
         *,
-        network: Streams,
+        network: StreamNet,
         state_store: StateStore | None = None,
         wall: Callable[[], float] = time.time,
         log: Log = no_log,
--- a/gullmount/distribution/subscriber.py
+++ b/gullmount/distribution/subscriber.py
@@ -20,7 +20,7 @@
 from gullmount.distribution.topic_update import TopicUpdate
 from gullmount.distribution.update_receiver import AppliedUpdate, LineResult
 from gullmount.distribution.versions import NO_VERSION, Version
-from gullmount.net import Streams
+from gullmount.net import StreamNet
 
 
 class UpdateHandler(Protocol):
@@ -54,7 +54,7 @@
         zone: str,
         relays: Sequence[RelayEndpoint],
         services: Sequence[str],
-        network: Streams,
+        network: StreamNet,
         random: Random,
         handler: UpdateHandler,
         log: Log = no_log,
--- a/gullmount/distribution/subscription_client.py
+++ b/gullmount/distribution/subscription_client.py
@@ -29,7 +29,7 @@
 from gullmount.distribution.streams import CountedNetwork
 from gullmount.distribution.topic_store import TopicStore
 from gullmount.distribution.update_receiver import LineResult, SubscriberCounters, UpdateReceiver
-from gullmount.net import Streams
+from gullmount.net import StreamNet
 from gullmount.rpc import CallError, ConnectionPool, SilentPeerError, stream_lines
 
 REPORT_DELAY_SECONDS = 0.2  # in which what came into force is gathered before it is reported
@@ -55,7 +55,7 @@
         zone: str,
         relays: Sequence[RelayEndpoint],
         store: TopicStore,
-        network: Streams,
+        network: StreamNet,
         random: Random,
         log: Log = no_log,
         clock: Callable[[], float] = anyio.current_time,
@@ -137,7 +137,7 @@
             max_silence_seconds=SILENCE_TIMEOUT_SECONDS,
             max_line_bytes=MAX_LINE_BYTES,
             line_timeout_seconds=LINE_TIMEOUT_SECONDS,
-            answer_timeout_seconds=RESPONSE_TIMEOUT_SECONDS,
+            response_timeout_seconds=RESPONSE_TIMEOUT_SECONDS,
         )
         async with aclosing(stream) as lines:
             async for line in lines:
--- a/gullmount/emulators/links/host_network.py
+++ b/gullmount/emulators/links/host_network.py
@@ -15,7 +15,7 @@
 from gullmount.emulators.links.open_streams import without_closed
 from gullmount.emulators.links.party_link import ONE_WAY, LinkDirection
 from gullmount.errors import GullmountError
-from gullmount.net import Datagrams, Stream, TcpNet, abort, source_host
+from gullmount.net import DatagramSocket, Stream, TcpNet, abort, source_host
 
 
 class HostDeadError(GullmountError, ConnectionAbortedError):
@@ -99,10 +99,10 @@
         now = anyio.current_time()
         return LinkedStream(stream, self.links, self.zone, other_zone, (source, address), now, accepted=True)
 
-    async def datagrams(self, address: str) -> Datagrams:
+    async def datagrams(self, address: str) -> DatagramSocket:
         """Open a socket for datagrams. Raises OSError."""
         if self.links.memory_network is not None:
-            inner: Datagrams = await self.links.memory_network.datagrams(address)
+            inner: DatagramSocket = await self.links.memory_network.datagrams(address)
         else:
             inner = await self._sockets.datagrams(address)
         return LinkedDatagrams(inner, self.links, self.zone, self._tasks)
--- a/gullmount/emulators/links/linked_datagrams.py
+++ b/gullmount/emulators/links/linked_datagrams.py
@@ -7,13 +7,13 @@
 
 from gullmount.emulators.links.current_process import CURRENT_PROCESS
 from gullmount.emulators.links.network_links import NetworkLinks
-from gullmount.net import STREAM_ERRORS, Datagrams
+from gullmount.net import STREAM_ERRORS, DatagramSocket
 
 
 class LinkedDatagrams:
     """Messages that arrive late, or not at all where the link is cut or chance has it."""
 
-    def __init__(self, inner: Datagrams, links: NetworkLinks, zone: str, tasks: TaskGroup) -> None:
+    def __init__(self, inner: DatagramSocket, links: NetworkLinks, zone: str, tasks: TaskGroup) -> None:
         self._inner = inner
         self._links = links
         self._zone = zone
--- a/gullmount/fault_harness/hosts.py
+++ b/gullmount/fault_harness/hosts.py
@@ -19,7 +19,7 @@
     split_name,
 )
 from gullmount.leases.config import LeasingProxyConfig
-from gullmount.net import Datagrams, Stream, TcpNet
+from gullmount.net import DatagramSocket, Stream, TcpNet
 from gullmount.proxy import ProxyConfig
 from gullmount.scenarios.deployment import Deployment
 from gullmount.scenarios.proxy_process import ProxyFactory
@@ -55,9 +55,9 @@
         """Serve connections, until cancelled."""
         await self._net.serve(address, handler, started)
 
-    async def datagrams(self, address: str) -> Datagrams:
+    async def datagrams(self, address: str) -> DatagramSocket:
         """Open a socket for datagrams."""
-        socket: Datagrams = await self._net.datagrams(address)
+        socket: DatagramSocket = await self._net.datagrams(address)
         return socket
 
 
--- a/gullmount/fault_harness/network_links.py
+++ b/gullmount/fault_harness/network_links.py
@@ -14,7 +14,7 @@
 
 from gullmount.emulators.links import CURRENT_PROCESS, PartyLink
 from gullmount.fault_harness.config import FaultKind
-from gullmount.net import STREAM_ERRORS, Datagrams, Stream, Streams, abort, source_host
+from gullmount.net import STREAM_ERRORS, DatagramSocket, Stream, StreamNet, abort, source_host
 
 CHUNK_BYTES = 65536  # read at once
 MAX_CHUNKS = 64  # of one direction on a slow or cut link; the sender waits then, as for a full buffer
@@ -56,7 +56,7 @@
         for connection in list(self._connections):
             connection.cancel()
 
-    async def forward(self, near: Stream, network: Streams, address: str) -> None:
+    async def forward(self, near: Stream, network: StreamNet, address: str) -> None:
         """Forward one connection to an address until it ends.
 
         What was read of it is under way and arrives even if the source has died.
@@ -97,13 +97,13 @@
             target_address: where the party itself listens.
         """
         self._target_address = target_address
-        self._links: dict[str, tuple[HarnessLink, Streams]] = {}  # by the host that connects
+        self._links: dict[str, tuple[HarnessLink, StreamNet]] = {}  # by the host that connects
 
-    def add_link(self, source_host: str, link: HarnessLink, network: Streams) -> None:
+    def add_link(self, source_host: str, link: HarnessLink, network: StreamNet) -> None:
         """Put connections of a host on a link, to be connected on from a network."""
         self._links[source_host] = link, network
 
-    async def run(self, network: Streams, address: str) -> None:
+    async def run(self, network: StreamNet, address: str) -> None:
         """Listen at the address, until cancelled."""
         await network.serve(address, self._forward)
 
@@ -187,7 +187,7 @@
         self._link = link
         self._chance = chance
 
-    async def run(self, near: Datagrams, far: Datagrams, target_address: str) -> None:
+    async def run(self, near: DatagramSocket, far: DatagramSocket, target_address: str) -> None:
         """Forward what arrives, until cancelled.
 
         Args:
@@ -211,7 +211,7 @@
             with anyio.CancelScope(shield=True):
                 await near.aclose()
 
-    async def _deliver(self, delay: float, far: Datagrams, data: bytes, target_address: str) -> None:
+    async def _deliver(self, delay: float, far: DatagramSocket, data: bytes, target_address: str) -> None:
         await anyio.sleep(delay)
         try:
             await far.send(data, target_address)
--- a/gullmount/fault_harness/probes.py
+++ b/gullmount/fault_harness/probes.py
@@ -11,7 +11,7 @@
 from gullmount.consensus.errors import NoReplicaError, OutcomeUnknownError
 from gullmount.consensus.registers import RegisterValue
 from gullmount.emulators.record import Record
-from gullmount.net import Streams
+from gullmount.net import StreamNet
 
 REGISTER = "probe"
 ANSWER_TIMEOUT_SECONDS = 1.0
@@ -25,7 +25,7 @@
     def __init__(
         self,
         number: int,
-        net: Streams,
+        net: StreamNet,
         addresses: list[str],
         record: Record,
         seed: int,
--- a/gullmount/net/handler_errors.py
+++ b/gullmount/net/handler_errors.py
@@ -42,14 +42,14 @@
         self._count_by_place: Counter[str] = Counter()  # bounded by the lines of the program
 
     @contextmanager
-    def contained(self, handler: str, passing: tuple[type[Exception], ...] = ()) -> Iterator[None]:
-        """Contain an error of the body, unless it is one of `passing`, which the caller expects.
+    def contained(self, handler: str, expected_errors: tuple[type[Exception], ...] = ()) -> Iterator[None]:
+        """Contain an error of the body, unless it is one of `expected_errors`, which the caller expects.
 
         `handler` says in the log what was served.
         """
         try:
             yield
-        except passing:
+        except expected_errors:
             raise
         except Exception as error:
             if ends_process(error):
--- a/gullmount/net/memory.py
+++ b/gullmount/net/memory.py
@@ -189,7 +189,7 @@
         return sum(map(len, self.outgoing))
 
     @property
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether it is open and neither bytes nor an end wait unread."""
         half = self.stream.incoming
         return not (self.stream.closed or self.closing or half.chunks or half.sender_closed or half.reset)
@@ -235,7 +235,7 @@
         self.resume_reading()
 
 
-class MemoryDatagrams:
+class MemoryDatagramSocket:
     """A socket for datagrams in memory."""
 
     def __init__(self, net: MemoryNet, address: str) -> None:
@@ -270,13 +270,13 @@
 class MemoryNet:
     """A network of its own, whose addresses are any text.
 
-    `running` is the task group in which transports run; whoever uses transports sets it.
+    `task_group` is the task group in which transports run; whoever uses transports sets it.
     """
 
     def __init__(self) -> None:
         self.accepting: dict[str, Callable[[MemoryStream], None]] = {}
-        self.sockets: dict[str, MemoryDatagrams] = {}
-        self.running: TaskGroup
+        self.sockets: dict[str, MemoryDatagramSocket] = {}
+        self.task_group: TaskGroup
 
     async def connect(self, address: str, source: str = "") -> MemoryStream:
         """Open a stream; `source` names where it comes from. Raises OSError."""
@@ -315,7 +315,7 @@
         """Connect; `protocol` may be called before this returns. Raises OSError."""
         transport = MemoryTransport(await self.connect(address))
         transport.protocol = protocol
-        self.running.start_soon(transport.run)
+        self.task_group.start_soon(transport.run)
         return transport
 
     async def serve_transports(
@@ -332,14 +332,14 @@
             if transport.protocol is None:
                 transport.abort()
             else:
-                self.running.start_soon(transport.run)  # it outlives the listener
+                self.task_group.start_soon(transport.run)  # it outlives the listener
 
         await self.serve(address, handle, started)
 
-    async def datagrams(self, address: str) -> MemoryDatagrams:
+    async def datagrams(self, address: str) -> MemoryDatagramSocket:
         """Open a socket for datagrams. Raises OSError."""
         if address in self.sockets:
             raise AddressInUseError(address)
-        self.sockets[address] = MemoryDatagrams(self, address)
+        self.sockets[address] = MemoryDatagramSocket(self, address)
         await anyio.lowlevel.checkpoint()
         return self.sockets[address]
--- a/gullmount/net/tcp.py
+++ b/gullmount/net/tcp.py
@@ -13,12 +13,12 @@
 from gullmount.net.acceptor import Acceptor, is_readable, listening_socket
 from gullmount.net.arrival import has_ended, seconds_since_data
 from gullmount.net.handler_errors import HandlerErrors
-from gullmount.net.types import Datagrams, Stream, Transport, TransportProtocol, parse_address
+from gullmount.net.types import DatagramSocket, Stream, Transport, TransportProtocol, parse_address
 
 LISTEN_BACKLOG = 1024  # connections that wait to be accepted: a burst of new clients must not be refused
 
 
-class UdpDatagrams:
+class UdpDatagramSocket:
     """A UDP socket."""
 
     def __init__(self, udp_socket: UDPSocket) -> None:
@@ -97,7 +97,7 @@
         return self.unsent_at_close if self.closed else self.transport.get_write_buffer_size()
 
     @property
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether it is open and neither bytes nor an end wait unread."""
         if self.closed or self.received_eof or self.transport.is_closing():
             return False
@@ -219,7 +219,7 @@
             with anyio.CancelScope(shield=True):
                 await acceptor.stop()
 
-    async def datagrams(self, address: str) -> Datagrams:
+    async def datagrams(self, address: str) -> DatagramSocket:
         """Open a UDP socket. Raises OSError."""
         host, port = parse_address(address)
-        return UdpDatagrams(await anyio.create_udp_socket(local_host=host, local_port=port))
+        return UdpDatagramSocket(await anyio.create_udp_socket(local_host=host, local_port=port))
--- a/gullmount/net/types.py
+++ b/gullmount/net/types.py
@@ -29,7 +29,7 @@
         super().__init__(f"not an address of the form host:port: {text!r}")
 
 
-class Datagrams(Protocol):
+class DatagramSocket(Protocol):
     """Short messages that may be lost; an address is text such as `127.0.0.1:7100`."""
 
     async def send(self, data: bytes, address: str) -> None:
@@ -64,7 +64,7 @@
         """Bytes written that the network has not accepted yet; after the end, those it never accepted."""
 
     @property
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether it is open and neither bytes nor an end wait unread. Asks the network."""
 
     @property
@@ -97,7 +97,7 @@
         """End at once, with a reset."""
 
 
-class Streams(Protocol):
+class StreamNet(Protocol):
     """Connects and listens by address. All methods may raise OSError, as sockets do."""
 
     async def connect(self, address: str) -> Stream:
@@ -108,11 +108,11 @@
     ) -> None:
         """Accept until cancelled, with a task that runs `handler` for each stream."""
 
-    async def datagrams(self, address: str) -> Datagrams:
+    async def datagrams(self, address: str) -> DatagramSocket:
         """Open a socket for datagrams."""
 
 
-class Net(Streams, Protocol):
+class Net(StreamNet, Protocol):
     """Streams, and transports by callbacks."""
 
     async def connect_transport(self, address: str, protocol: TransportProtocol) -> Transport:
--- a/gullmount/platform/release_controller.py
+++ b/gullmount/platform/release_controller.py
@@ -64,7 +64,9 @@
         while True:
             with anyio.CancelScope() as self.watch_scope:
                 try:
-                    with self.runtime.handler_errors.contained("release status", passing=KNOWN_ERRORS):
+                    with self.runtime.handler_errors.contained(
+                        "release status", expected_errors=KNOWN_ERRORS
+                    ):
                         await self.follow_status()
                 except KNOWN_ERRORS as error:
                     self.runtime.log_event(LogEvent.RELEASE_WATCH_ENDED, reason=describe_error(error))
@@ -106,7 +108,7 @@
                 answer = await self.exchange_vote(encode_vote(build, stage, vote))
             if not answer.startswith(VOTE_ACCEPTED_PREFIX):
                 raise UnexpectedReplyError(answer)
-            with self.runtime.handler_errors.contained("vote's answer", passing=KNOWN_ERRORS):
+            with self.runtime.handler_errors.contained("vote's answer", expected_errors=KNOWN_ERRORS):
                 self.apply_status(parse_release_status(answer.removeprefix(VOTE_ACCEPTED_PREFIX)))
         except KNOWN_ERRORS as error:
             self.runtime.log_event(LogEvent.VOTE_FAILED, reason=describe_error(error))
--- a/gullmount/platform/vote_gossip.py
+++ b/gullmount/platform/vote_gossip.py
@@ -5,7 +5,7 @@
 import anyio
 
 from gullmount.decisions.model import Vote
-from gullmount.net import STREAM_ERRORS, Datagrams
+from gullmount.net import STREAM_ERRORS, DatagramSocket
 from gullmount.platform.log_events import LogEvent
 from gullmount.proxy.runtime import BufferedRuntime
 from gullmount.settings import PeerVote, decode_peer_vote, encode_peer_vote
@@ -19,7 +19,9 @@
     `peer_addresses` are in the order of the instances' numbers.
     """
 
-    def __init__(self, runtime: BufferedRuntime, datagrams: Datagrams, peer_addresses: list[str]) -> None:
+    def __init__(
+        self, runtime: BufferedRuntime, datagrams: DatagramSocket, peer_addresses: list[str]
+    ) -> None:
         self.runtime = runtime
         self.datagrams = datagrams
         self.peer_addresses = peer_addresses
--- a/gullmount/proxy/buffered_downstream.py
+++ b/gullmount/proxy/buffered_downstream.py
@@ -161,7 +161,7 @@
         just written, only the sending side is closed and received data is discarded for a while (RFC 9112,
         section 9.6), because a TCP reset could overtake the response.
         """
-        if self.closed or (self.idle and not self.transport.is_quiet):
+        if self.closed or (self.idle and not self.transport.is_idle):
             return
         self.closed = True
         if (
--- a/gullmount/proxy/buffered_upstream.py
+++ b/gullmount/proxy/buffered_upstream.py
@@ -285,7 +285,7 @@
             if idle_time < self.limits.reuse_delay and connection.carried_attempt:
                 continue
             assert connection.transport is not None
-            if idle_time < self.limits.idle_timeout and connection.transport.is_quiet:
+            if idle_time < self.limits.idle_timeout and connection.transport.is_idle:
                 del pool.idle[index]
                 return connection
             connection.close()
@@ -326,7 +326,7 @@
         except BaseException:
             connection.mark_closed()
             raise
-        if connection.closed or not connection.transport.is_quiet:
+        if connection.closed or not connection.transport.is_idle:
             # The server sent data or closed the connection before the request.
             return AttemptEnd.CONNECT_REFUSED
         return None
--- a/gullmount/proxy/discovery_client.py
+++ b/gullmount/proxy/discovery_client.py
@@ -149,7 +149,7 @@
         errors = self.runtime.handler_errors
         try:
             target = f"/v1/roster?after={self.index}&umpire={self.runtime.instance_number}"
-            with errors.contained("discovery message", passing=(CallError, InvalidMessageError)):
+            with errors.contained("discovery message", expected_errors=(CallError, InvalidMessageError)):
                 async for line in stream_lines(self.net, self.address, target):
                     self.handle_message(line)
                     received_any = True
--- a/gullmount/proxy/peer_gossip.py
+++ b/gullmount/proxy/peer_gossip.py
@@ -13,7 +13,7 @@
 
 from gullmount.decisions.attribution import Assessment, Cause, Finding, SampleRow
 from gullmount.decisions.model import Vote
-from gullmount.net import STREAM_ERRORS, Datagrams
+from gullmount.net import STREAM_ERRORS, DatagramSocket
 from gullmount.proxy.errors import PeerAddressError, PeerMessageSizeError
 from gullmount.proxy.log_events import LogEvent
 from gullmount.proxy.runtime import StreamingRuntime
@@ -110,7 +110,9 @@
 class PeerGossip:
     """Sends messages to the peers and receives theirs; `addresses` maps instance numbers to addresses."""
 
-    def __init__(self, runtime: StreamingRuntime, datagrams: Datagrams, addresses: Mapping[int, str]) -> None:
+    def __init__(
+        self, runtime: StreamingRuntime, datagrams: DatagramSocket, addresses: Mapping[int, str]
+    ) -> None:
         self.runtime = runtime
         self.datagrams = datagrams
         self.addresses = addresses
--- a/gullmount/proxy/streaming_upstream.py
+++ b/gullmount/proxy/streaming_upstream.py
@@ -53,7 +53,7 @@
         self.idle_since = now
 
     @property
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the connection is open and has no unread bytes."""
         return not self.incoming.ended and not self.incoming.chunks
 
@@ -135,7 +135,7 @@
         idle_cutoff = self.clock() - self.limits.idle_timeout
         while pool.idle:
             connection = pool.idle.pop()
-            if connection.is_quiet and connection.idle_since > idle_cutoff:
+            if connection.is_idle and connection.idle_since > idle_cutoff:
                 return connection
             connection.close()
         return None
@@ -182,7 +182,7 @@
     def release_connection(self, server_id: str, connection: Connection) -> None:
         """Return the connection to its pool if it can be reused, else close it."""
         parser = connection.parser
-        reusable = self.pools.get(server_id) is connection.pool and connection.is_quiet and not parser.parts
+        reusable = self.pools.get(server_id) is connection.pool and connection.is_idle and not parser.parts
         if connection.request_written and parser.keep_alive and parser.error is None and reusable:
             connection.idle_since = self.clock()
             connection.pool.idle.append(connection)
--- a/gullmount/rpc/__init__.py
+++ b/gullmount/rpc/__init__.py
@@ -3,7 +3,7 @@
 The messages are described in docs/protocols.md; nothing here knows proxies, servers or builds.
 """
 
-from gullmount.rpc.client import Answer, ConnectionPool, call
+from gullmount.rpc.client import CallResponse, ConnectionPool, call
 from gullmount.rpc.errors import (
     CallError,
     ConnectError,
@@ -26,8 +26,8 @@
 
 __all__ = [
     "MESSAGE_VERSION",
-    "Answer",
     "CallError",
+    "CallResponse",
     "ConnectError",
     "ConnectionPool",
     "Fields",
--- a/gullmount/rpc/client.py
+++ b/gullmount/rpc/client.py
@@ -7,31 +7,31 @@
 
 import anyio
 
-from gullmount.net import Streams
+from gullmount.net import StreamNet
 from gullmount.rpc.connection import ClientConnection, ResponseHead, connect
-from gullmount.rpc.errors import AnswerTooLongError, CallError
+from gullmount.rpc.errors import CallError, ResponseTooLongError
 
-MAX_ANSWER_BYTES = 65536  # of one call
+MAX_RESPONSE_BYTES = 65536  # of one call
 MAX_IDLE_CONNECTIONS = 8  # to one address, kept for the next call
 
 
-class Answer(NamedTuple):
+class CallResponse(NamedTuple):
     """A complete answer: its HTTP status and body."""
 
     status: int
     body: bytes
 
 
-async def call(net: Streams, address: str, method: str, target: str, body: bytes = b"") -> Answer:
+async def call(net: StreamNet, address: str, method: str, target: str, body: bytes = b"") -> CallResponse:
     """Make one call on a connection of its own; raise CallError where it gets no answer."""
     connection = await connect(net, address, keep_alive=False)
     try:
-        return await read_answer(connection.request(method, target, body))
+        return await read_response(connection.request(method, target, body))
     finally:
         await connection.aclose()
 
 
-async def read_answer(parts: AsyncIterator[ResponseHead | bytes]) -> Answer:
+async def read_response(parts: AsyncIterator[ResponseHead | bytes]) -> CallResponse:
     """Collect an answer; raise CallError where it breaks off or is too long."""
     status = 0
     body = b""
@@ -40,9 +40,9 @@
             status = part.status
             continue
         body += part
-        if len(body) > MAX_ANSWER_BYTES:
-            raise AnswerTooLongError(MAX_ANSWER_BYTES)
-    return Answer(status, body)
+        if len(body) > MAX_RESPONSE_BYTES:
+            raise ResponseTooLongError(MAX_RESPONSE_BYTES)
+    return CallResponse(status, body)
 
 
 class ConnectionPool:
@@ -52,11 +52,11 @@
     twice may go through a pool.
     """
 
-    def __init__(self, net: Streams) -> None:
+    def __init__(self, net: StreamNet) -> None:
         self.net = net
         self.idle: dict[str, list[ClientConnection]] = {}
 
-    async def call(self, address: str, method: str, target: str, body: bytes = b"") -> Answer:
+    async def call(self, address: str, method: str, target: str, body: bytes = b"") -> CallResponse:
         """Make one call; raise CallError where it gets no answer."""
         idle = self.idle.setdefault(address, [])
         while idle:
@@ -68,11 +68,13 @@
         connection = await connect(self.net, address, keep_alive=True)
         return await self._call_on(connection, method, target, body)
 
-    async def _call_on(self, connection: ClientConnection, method: str, target: str, body: bytes) -> Answer:
+    async def _call_on(
+        self, connection: ClientConnection, method: str, target: str, body: bytes
+    ) -> CallResponse:
         idle = self.idle[connection.address]
         reusable = False
         try:
-            answer = await read_answer(connection.request(method, target, body))
+            answer = await read_response(connection.request(method, target, body))
             reusable = connection.start_next_call() and len(idle) < MAX_IDLE_CONNECTIONS
             if reusable:
                 idle.append(connection)
--- a/gullmount/rpc/connection.py
+++ b/gullmount/rpc/connection.py
@@ -8,7 +8,7 @@
 import anyio
 import h11
 
-from gullmount.net import STREAM_ERRORS, Stream, Streams
+from gullmount.net import STREAM_ERRORS, Stream, StreamNet
 from gullmount.rpc.errors import ConnectError, ConnectionClosedError, ConnectionLostError, HttpProtocolError
 
 MAX_RETRY_AFTER_DIGITS = 7  # of milliseconds: some hours; more is taken for a mistake
@@ -94,7 +94,7 @@
     return None
 
 
-async def connect(net: Streams, address: str, *, keep_alive: bool) -> ClientConnection:
+async def connect(net: StreamNet, address: str, *, keep_alive: bool) -> ClientConnection:
     """Open a connection; raise ConnectError where none comes up."""
     try:
         return ClientConnection(await net.connect(address), address, keep_alive)
--- a/gullmount/rpc/errors.py
+++ b/gullmount/rpc/errors.py
@@ -125,7 +125,7 @@
         self.retry_after_seconds = retry_after_seconds
 
 
-class AnswerTooLongError(CallError):
+class ResponseTooLongError(CallError):
     """The server's answer is longer than a call takes."""
 
     def __init__(self, max_bytes: int) -> None:
--- a/gullmount/rpc/line_stream.py
+++ b/gullmount/rpc/line_stream.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from gullmount.net import Streams
+from gullmount.net import StreamNet
 from gullmount.rpc.connection import ClientConnection, ResponseHead, connect
 from gullmount.rpc.errors import LineTooLongError, SilentPeerError, StatusError, StreamEndedError
 
@@ -42,7 +42,7 @@
 
 
 async def stream_lines(
-    net: Streams,
+    net: StreamNet,
     address: str,
     target: str,
     body: bytes | None = None,
@@ -50,7 +50,7 @@
     max_silence_seconds: float = MAX_SILENCE_SECONDS,
     max_line_bytes: int = MAX_LINE_BYTES,
     line_timeout_seconds: float = inf,
-    answer_timeout_seconds: float = inf,
+    response_timeout_seconds: float = inf,
 ) -> AsyncGenerator[bytes, None]:
     """Yield the complete lines of a stream; end by raising CallError only.
 
@@ -62,9 +62,9 @@
         max_silence_seconds: without a byte, after which the stream is given up.
         max_line_bytes: longest line that is taken.
         line_timeout_seconds: from the first byte of a line to its end.
-        answer_timeout_seconds: from the call to the answer's status.
+        response_timeout_seconds: from the call to the answer's status.
     """
-    answer_due = anyio.current_time() + min(max_silence_seconds, answer_timeout_seconds)
+    answer_due = anyio.current_time() + min(max_silence_seconds, response_timeout_seconds)
     connection = await _connect_before(net, address, answer_due)
     buffer = LineBuffer(max_line_bytes)
     parts = connection.request("GET" if body is None else "POST", target, body or b"")
@@ -86,7 +86,7 @@
             await connection.aclose()
 
 
-async def _connect_before(net: Streams, address: str, due: float) -> ClientConnection:
+async def _connect_before(net: StreamNet, address: str, due: float) -> ClientConnection:
     try:
         with anyio.fail_after(due - anyio.current_time()):
             return await connect(net, address, keep_alive=False)
--- a/gullmount/scale/fleet/counting_network.py
+++ b/gullmount/scale/fleet/counting_network.py
@@ -10,7 +10,7 @@
 import msgspec
 from anyio.abc import ByteStream
 
-from gullmount.net import Datagrams, Net, Stream, Transport, TransportProtocol
+from gullmount.net import DatagramSocket, Net, Stream, Transport, TransportProtocol
 
 MAX_CONNECTION_TIMES = 64  # newest connections of which times are kept: a client opens a few in a run
 
@@ -94,7 +94,7 @@
         """Serve, not counted."""
         await self.network.serve(address, handler, started)
 
-    async def datagrams(self, address: str) -> Datagrams:
+    async def datagrams(self, address: str) -> DatagramSocket:
         """Open datagrams, not counted."""
         return await self.network.datagrams(address)
 
--- a/gullmount/scale/slopes/server_connections.py
+++ b/gullmount/scale/slopes/server_connections.py
@@ -101,7 +101,7 @@
         """
         counts = []
         async with anyio.create_task_group() as tasks:
-            self.net.running = tasks
+            self.net.task_group = tasks
             listening = anyio.Event()
             tasks.start_soon(self.net.serve, ADDRESS, self._serve, listening)
             await listening.wait()
--- a/tests/commands/test_command_line.py
+++ b/tests/commands/test_command_line.py
@@ -16,11 +16,11 @@
 
 import pytest
 
-from tests.support.fault_block import own_block
+from tests.support.fault_block import reserve_loopback_block
 from tests.support.paths import DAYS
 from tests.support.proxy_edge import make_proxy_config
 
-HOST = f"{own_block()}.1.1"
+HOST = f"{reserve_loopback_block()}.1.1"
 SAVED_WITHIN = 10.0  # s, of the 30 after which the watchdog ends a proxy
 BOXES = [
     {
--- a/tests/consensus/test_group_changes.py
+++ b/tests/consensus/test_group_changes.py
@@ -23,7 +23,7 @@
 from gullmount.emulators.record import Record
 from gullmount.fault_harness.probes import record_operation
 from gullmount.fault_harness.processes import Process
-from tests.support.fault_block import harness_block
+from tests.support.fault_block import reserve_harness_block
 from tests.support.replicas import (
     FOUR_FOR_ONE,
     MEMBERS,
@@ -201,7 +201,7 @@
 
 
 def test_the_command_replaces_a_replica_on_processes(tmp_path: Path) -> None:
-    block = f"{harness_block()}.5"
+    block = f"{reserve_harness_block()}.5"
     members = {number: f"{block}.{number}:7299" for number in (1, 2, 3)}
     processes: dict[int, Process] = {}
 
--- a/tests/fault_harness/test_processes.py
+++ b/tests/fault_harness/test_processes.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from gullmount.checker.owners import check_owners
-from tests.support.fault_block import harness_block
+from tests.support.fault_block import reserve_harness_block
 
 
 def test_log_on_a_full_disk_does_not_stop_the_process_and_counts_the_lost_lines(tmp_path: Path) -> None:
@@ -32,7 +32,7 @@
 
 
 def test_replica_whose_disk_and_log_are_full_ends_with_its_own_exit_code(tmp_path: Path) -> None:
-    host = f"{harness_block()}.5"
+    host = f"{reserve_harness_block()}.5"
     members = {number: f"{host}.{number}:7299" for number in (1, 2, 3)}
     config = {"number": 1, "group": "g", "members": members, "disk": str(tmp_path / "disk")}
     (tmp_path / "keeper.yaml").write_text(json.dumps(config))
--- a/tests/fault_harness/test_proxy_instances.py
+++ b/tests/fault_harness/test_proxy_instances.py
@@ -11,7 +11,7 @@
 from gullmount.fault_harness.deployment import HarnessDeployment
 from gullmount.fault_harness.processes import Process
 from gullmount.fault_harness.run import play_deployment
-from tests.support.fault_block import harness_block
+from tests.support.fault_block import reserve_harness_block
 from tests.support.harness_scripts import changed_script
 
 
@@ -37,7 +37,7 @@
     monkeypatch.setattr(Process, "stop_gracefully", notice_late)
     stop = {"at": 1.5, "do": "term", "who": "umpire 0", "length": 30}
     script = changed_script("short", faults=[stop], length=3, probers=0, load={"rate": 0.1})
-    block = harness_block()
+    block = reserve_harness_block()
 
     async def scene() -> None:
         with anyio.fail_after(40):
--- a/tests/fault_harness/test_run.py
+++ b/tests/fault_harness/test_run.py
@@ -10,7 +10,7 @@
 import pytest
 
 from gullmount.fault_harness.run import run
-from tests.support.fault_block import harness_block
+from tests.support.fault_block import reserve_harness_block
 from tests.support.harness_scripts import (
     SCRIPTS,
     changed_script,
@@ -61,7 +61,7 @@
 def test_a_second_script_in_one_process_binds_the_addresses_of_the_first(tmp_path: Path) -> None:
     """Guards against sockets that are open until they are collected."""
     script = changed_script("short", length=0.5, faults=[], probers=0)
-    block = harness_block()
+    block = reserve_harness_block()
     gc.disable()
     try:
         for name in ("one", "other"):
--- a/tests/net/test_handler_errors.py
+++ b/tests/net/test_handler_errors.py
@@ -36,5 +36,5 @@
 
 
 def test_expected_errors_pass() -> None:
-    with pytest.raises(KeyError), HandlerErrors().contained("test", passing=(KeyError,)):
+    with pytest.raises(KeyError), HandlerErrors().contained("test", expected_errors=(KeyError,)):
         raise KeyError
--- a/tests/rpc/test_client.py
+++ b/tests/rpc/test_client.py
@@ -20,8 +20,8 @@
     serve,
     stream_lines,
 )
-from gullmount.rpc.client import MAX_ANSWER_BYTES
-from gullmount.rpc.errors import AnswerTooLongError, ConnectionLostError, LineTooLongError, StreamEndedError
+from gullmount.rpc.client import MAX_RESPONSE_BYTES
+from gullmount.rpc.errors import ConnectionLostError, LineTooLongError, ResponseTooLongError, StreamEndedError
 from gullmount.scenarios.virtual_time import run_in_virtual_time
 
 ADDRESS = "10.0.0.1:7000"
@@ -79,14 +79,14 @@
 
 def test_an_answer_that_is_too_long_or_breaks_off_is_told() -> None:
     async def script(net: MemoryNet) -> None:
-        with pytest.raises(AnswerTooLongError):
+        with pytest.raises(ResponseTooLongError):
             await call(net, ADDRESS, "GET", "/long")
         with pytest.raises(ConnectionLostError):
             await call(net, ADDRESS, "GET", "/reset")
 
     def answer(request: Request) -> Response:
         if request.target == "/long":
-            return Response(200, b"x" * (MAX_ANSWER_BYTES + 1))
+            return Response(200, b"x" * (MAX_RESPONSE_BYTES + 1))
         return Response(0, failure="reset")
 
     play(answer, script)
--- a/tests/rpc/test_server.py
+++ b/tests/rpc/test_server.py
@@ -15,7 +15,7 @@
 from gullmount.rpc import Request, Response, serve
 from gullmount.rpc.errors import InvalidTargetError
 from gullmount.rpc.target import RequestTarget, parse_target
-from tests.support.fault_block import own_block
+from tests.support.fault_block import reserve_loopback_block
 
 GOOD = b"GET /good HTTP/1.1\r\nhost: x\r\n\r\n"
 Handler = Callable[[Request, Stream], Awaitable[Response]]
@@ -59,8 +59,8 @@
 
     async def scene() -> list[bytes]:
         with socket.socket() as free:
-            free.bind((f"{own_block()}.7.1", 0))
-            address = f"{own_block()}.7.1:{free.getsockname()[1]}"
+            free.bind((f"{reserve_loopback_block()}.7.1", 0))
+            address = f"{reserve_loopback_block()}.7.1:{free.getsockname()[1]}"
         net, errors, started = TcpNet(), HandlerErrors(log), anyio.Event()
 
         async def connection(stream: Stream) -> None:
--- a/tests/scale/fleet/test_counting_network.py
+++ b/tests/scale/fleet/test_counting_network.py
@@ -17,7 +17,7 @@
             await stream.send(b"x" * len(await stream.receive()) * 2)
 
         async with anyio.create_task_group() as tasks:
-            memory.running = tasks
+            memory.task_group = tasks
             started = anyio.Event()
             tasks.start_soon(memory.serve, "127.0.0.9:1", answer, started)
             await started.wait()
--- a/tests/support/distribution_processes.py
+++ b/tests/support/distribution_processes.py
@@ -22,7 +22,7 @@
 from gullmount.net import STREAM_ERRORS, Stream, TcpNet
 from gullmount.rpc import call
 from tests.support.distribution_scene import RecordingHandler
-from tests.support.fault_block import own_block
+from tests.support.fault_block import reserve_loopback_block
 from tests.support.proxy_edge import OK_RESPONSE, serve_watch
 from tests.support.proxy_edge import make_proxy_config as proxy_terms
 
@@ -31,7 +31,7 @@
 
 
 def host(number: int) -> str:
-    return f"{own_block()}.5.{number}"
+    return f"{reserve_loopback_block()}.5.{number}"
 
 
 def origin_at() -> str:
--- a/tests/support/fault_block.py
+++ b/tests/support/fault_block.py
@@ -12,7 +12,7 @@
 
 
 @cache
-def own_block(first: int = 60, many: int = 150) -> str:
+def reserve_loopback_block(first: int = 60, many: int = 150) -> str:
     """`127.N` with N from `first` on. A socket bound among its addresses says that they are taken, as days
     do: numbers of processes alone meet now and then."""
     for step in range(many):
@@ -28,6 +28,6 @@
     raise OSError("all blocks of loopback addresses are taken")
 
 
-def harness_block() -> str:
+def reserve_harness_block() -> str:
     """Of those beyond what days draw."""
-    return own_block(225, 25)
+    return reserve_loopback_block(225, 25)
--- a/tests/support/fuzzed_programs.py
+++ b/tests/support/fuzzed_programs.py
@@ -18,7 +18,7 @@
 from random import Random
 from typing import Any
 
-from tests.support.fault_block import own_block
+from tests.support.fault_block import reserve_loopback_block
 from tests.support.fuzzed_messages import hostile_datagram, hostile_request, json_text, mutated
 from tests.support.platform_world import (
     HOST,
@@ -142,7 +142,7 @@
     def __init__(self, seed: int, folder: Path) -> None:
         self.random = Random(seed)
         self.folder = folder
-        self.block = own_block()
+        self.block = reserve_loopback_block()
         self.hostile = False
         self.programs: list[Program] = []
         self.world = World()
--- a/tests/support/platform_scene.py
+++ b/tests/support/platform_scene.py
@@ -72,7 +72,7 @@
     async def scene() -> None:
         net, log = MemoryNet(), list[str]()
         async with anyio.create_task_group() as tasks:
-            net.running = tasks
+            net.task_group = tasks
             instance = PlatformInstance(
                 read_configuration({"PROXY_CONFIG": str(path)}),
                 net,
--- a/tests/support/platform_world.py
+++ b/tests/support/platform_world.py
@@ -14,10 +14,10 @@
 from pathlib import Path
 from typing import Any
 
-from tests.support.fault_block import own_block
+from tests.support.fault_block import reserve_loopback_block
 from tests.support.paths import ROOT
 
-HOST = f"{own_block()}.0.2"
+HOST = f"{reserve_loopback_block()}.0.2"
 READY_WITHIN = 30.0  # s, as the users' page allows: a machine that is busy with tests takes its time
 RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/tests/support/proxy_edge.py
+++ b/tests/support/proxy_edge.py
@@ -12,12 +12,12 @@
 
 from gullmount.net import STREAM_ERRORS, MemoryNet, Net, Stream, TcpNet
 from gullmount.proxy import ProxyConfig, ProxyInstance
-from tests.support.fault_block import own_block
+from tests.support.fault_block import reserve_loopback_block
 
 ServerScript = Callable[[Stream], Awaitable[None]]
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 OVERLOADED_RESPONSE = b"HTTP/1.1 503 Busy\r\nx-not-begun: 1\r\ncontent-length: 0\r\n\r\n"
-HOST = f"{own_block()}.0.1"
+HOST = f"{reserve_loopback_block()}.0.1"
 
 
 def make_proxy_config(**changes: Any) -> ProxyConfig:
