--- a/gullmount/net/acceptor.py
+++ b/gullmount/net/acceptor.py
@@ -16,9 +16,9 @@
 
 from gullmount.net.handler_errors import HandlerErrors
 
-RETRY_SECONDS = 0.02  # after a shortage
-SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-MAX_ACCEPTED_AT_ONCE = 256  # in one turn of the event loop
+ACCEPT_RETRY_SECONDS = 0.02  # after a shortage
+RESOURCE_SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+MAX_ACCEPTS_PER_TURN = 256  # in one turn of the event loop
 MAX_DRAIN_TURNS = 1024
 
 
@@ -39,38 +39,38 @@
         self._make_protocol = make_protocol
         self._handler_errors = handler_errors
         self._loop = asyncio.get_running_loop()
-        self._opening: set[asyncio.Task[None]] = set()
-        self._retry: asyncio.TimerHandle | None = None
+        self._open_tasks: set[asyncio.Task[None]] = set()
+        self._retry_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         """Accept whenever a connection waits."""
-        self._retry = None
+        self._retry_timer = None
         self._loop.add_reader(self.listener.fileno(), self._accept_waiting)
 
     async def stop(self) -> None:
         """Accept what waits in the kernel, which would be reset as the listener closes, and close it."""
         self._pause()
         for _ in range(MAX_DRAIN_TURNS):
-            if not is_readable(self.listener.fileno()) or not self._accept_some():
+            if not is_readable(self.listener.fileno()) or not self._accept_batch():
                 break
             await anyio.lowlevel.checkpoint()
-        if self._opening:
-            await asyncio.wait(self._opening)
+        if self._open_tasks:
+            await asyncio.wait(self._open_tasks)
         self.listener.close()
 
     def _pause(self) -> None:
-        if self._retry is not None:
-            self._retry.cancel()
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
         self._loop.remove_reader(self.listener.fileno())
 
     def _accept_waiting(self) -> None:
-        if not self._accept_some():
+        if not self._accept_batch():
             self._pause()
-            self._retry = self._loop.call_later(RETRY_SECONDS, self.start)
+            self._retry_timer = self._loop.call_later(ACCEPT_RETRY_SECONDS, self.start)
 
-    def _accept_some(self) -> bool:
+    def _accept_batch(self) -> bool:
         """Return whether accepting may go on at once."""
-        for _ in range(MAX_ACCEPTED_AT_ONCE):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 connection, _ = self.listener.accept()
             except BlockingIOError:
@@ -78,12 +78,12 @@
             except (ConnectionAbortedError, InterruptedError):
                 continue
             except OSError as error:
-                if error.errno not in SHORTAGES:
+                if error.errno not in RESOURCE_SHORTAGE_ERRNOS:
                     self._handler_errors.record("accept", error)
                 return False
             task = self._loop.create_task(self._open(connection))
-            self._opening.add(task)
-            task.add_done_callback(self._opening.discard)
+            self._open_tasks.add(task)
+            task.add_done_callback(self._open_tasks.discard)
         return True
 
     async def _open(self, connection: socket.socket) -> None:
--- a/gullmount/net/handler_errors.py
+++ b/gullmount/net/handler_errors.py
@@ -39,7 +39,7 @@
     def __init__(self, log: Log = log_to_standard_error) -> None:
         self.log = log
         self.count = 0
-        self._count_by_place: Counter[str] = Counter()  # bounded by the lines of the program
+        self._count_by_location: Counter[str] = Counter()  # bounded by the lines of the program
 
     @contextmanager
     def contained(self, handler: str, expected_errors: tuple[type[Exception], ...] = ()) -> Iterator[None]:
@@ -59,16 +59,16 @@
     def record(self, handler: str, error: Exception) -> None:
         """Count an error, and log the 1st, 2nd, 4th and so on of its place: a flood must not fill the log."""
         self.count += 1
-        place = raised_at(error)
-        self._count_by_place[place] += 1
-        count_here = self._count_by_place[place]
+        location = raise_location(error)
+        self._count_by_location[location] += 1
+        count_here = self._count_by_location[location]
         if count_here & (count_here - 1):
             return
         self.log(
             HANDLER_FAILED,
             handler=handler,
             error=type(error).__name__,
-            place=place,
+            place=location,
             count_here=count_here,
             count=self.count,
             traceback="".join(traceback.format_exception(error)),
@@ -82,7 +82,7 @@
     return isinstance(error, ProcessFatalError)
 
 
-def raised_at(error: BaseException) -> str:
+def raise_location(error: BaseException) -> str:
     """Return type, file and line of what was raised; of the first one of a group."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
--- a/gullmount/net/memory.py
+++ b/gullmount/net/memory.py
@@ -19,7 +19,7 @@
 MAX_WAITING_DATAGRAMS = 1024  # unread; later ones are dropped, as a kernel does
 
 
-class NobodyListensError(GullmountError, ConnectionRefusedError):
+class NoListenerError(GullmountError, ConnectionRefusedError):
     """A stream is opened to an address at which nobody listens."""
 
     def __init__(self, address: str) -> None:
@@ -33,7 +33,7 @@
         super().__init__(f"address in use: {address}")
 
 
-class HalfConnection:
+class StreamDirection:
     """One direction of a stream."""
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
 class MemoryStream(ByteStream):
     """One end of a connection."""
 
-    def __init__(self, incoming: HalfConnection, outgoing: HalfConnection, source: str) -> None:
+    def __init__(self, incoming: StreamDirection, outgoing: StreamDirection, source: str) -> None:
         self.incoming = incoming
         self.outgoing = outgoing
         self.source = source
@@ -62,40 +62,40 @@
     async def receive(self, max_bytes: int = MAX_BUFFERED_BYTES) -> bytes:
         """Return the next bytes. Raises one of STREAM_ERRORS."""
         await anyio.lowlevel.checkpoint()
-        half = self.incoming
+        direction = self.incoming
         while True:
             if self.closed:
                 raise anyio.ClosedResourceError
-            if half.reset:
+            if direction.reset:
                 raise anyio.BrokenResourceError
-            if half.chunks:
-                data = half.chunks.popleft()
+            if direction.chunks:
+                data = direction.chunks.popleft()
                 if len(data) > max_bytes:
-                    half.chunks.appendleft(data[max_bytes:])
+                    direction.chunks.appendleft(data[max_bytes:])
                     data = data[:max_bytes]
-                half.buffered_bytes -= len(data)
-                half.wake()
+                direction.buffered_bytes -= len(data)
+                direction.wake()
                 return data
-            if half.sender_closed:
+            if direction.sender_closed:
                 raise anyio.EndOfStream
-            await half.changed.wait()
+            await direction.changed.wait()
 
     async def send(self, item: bytes) -> None:
         """Write, waiting while the buffer is full. Raises one of STREAM_ERRORS."""
         await anyio.lowlevel.checkpoint()
-        half = self.outgoing
+        direction = self.outgoing
         while True:
             if self.closed:
                 raise anyio.ClosedResourceError
-            if half.reset or half.receiver_closed:
+            if direction.reset or direction.receiver_closed:
                 raise anyio.BrokenResourceError
-            if half.buffered_bytes < MAX_BUFFERED_BYTES:
+            if direction.buffered_bytes < MAX_BUFFERED_BYTES:
                 if item:
-                    half.chunks.append(bytes(item))
-                    half.buffered_bytes += len(item)
-                    half.wake()
+                    direction.chunks.append(bytes(item))
+                    direction.buffered_bytes += len(item)
+                    direction.wake()
                 return
-            await half.changed.wait()
+            await direction.changed.wait()
 
     async def send_eof(self) -> None:
         """End our side."""
@@ -126,7 +126,7 @@
 
 def connected_pair(source: str = "") -> tuple[MemoryStream, MemoryStream]:
     """Return both ends of a new connection, the connecting side first."""
-    to_server, to_client = HalfConnection(), HalfConnection()
+    to_server, to_client = StreamDirection(), StreamDirection()
     return MemoryStream(to_client, to_server, source), MemoryStream(to_server, to_client, source)
 
 
@@ -137,11 +137,11 @@
         self.stream = stream
         self.protocol: TransportProtocol | None = None
         self.outgoing: deque[bytes] = deque()
-        self.closing = False
-        self.finishing = False
-        self.paused = False
-        self.written = anyio.Event()
-        self.resumed = anyio.Event()
+        self.close_requested = False
+        self.eof_requested = False
+        self.reading_paused = False
+        self.write_requested = anyio.Event()
+        self.reading_resumed = anyio.Event()
 
     async def run(self) -> None:
         """Report what comes, until the stream ends."""
@@ -151,9 +151,9 @@
             try:
                 while True:
                     data = await self.stream.receive()
-                    while self.paused:
-                        self.resumed = anyio.Event()
-                        await self.resumed.wait()
+                    while self.reading_paused:
+                        self.reading_resumed = anyio.Event()
+                        await self.reading_resumed.wait()
                     if self.protocol is not None:
                         self.protocol.data_received(data)
             except STREAM_ERRORS as end:
@@ -172,14 +172,14 @@
                 while self.outgoing:
                     await self.stream.send(self.outgoing[0])
                     self.outgoing.popleft()
-                if self.closing:
+                if self.close_requested:
                     await self.stream.aclose()
                     return
-                if self.finishing and not self.stream.outgoing.sender_closed:
+                if self.eof_requested and not self.stream.outgoing.sender_closed:
                     await self.stream.send_eof()
                     continue
-                self.written = anyio.Event()
-                await self.written.wait()
+                self.write_requested = anyio.Event()
+                await self.write_requested.wait()
         except STREAM_ERRORS:
             pass
 
@@ -191,8 +191,14 @@
     @property
     def is_idle(self) -> bool:
         """Whether it is open and neither bytes nor an end wait unread."""
-        half = self.stream.incoming
-        return not (self.stream.closed or self.closing or half.chunks or half.sender_closed or half.reset)
+        direction = self.stream.incoming
+        return not (
+            self.stream.closed
+            or self.close_requested
+            or direction.chunks
+            or direction.sender_closed
+            or direction.reset
+        )
 
     @property
     def peer_has_ended(self) -> bool:
@@ -206,27 +212,27 @@
     def write(self, data: bytes) -> None:
         """Write without waiting."""
         self.outgoing.append(data)
-        self.written.set()
+        self.write_requested.set()
 
     def pause_reading(self) -> None:
         """Report no bytes until `resume_reading`."""
-        self.paused = True
+        self.reading_paused = True
 
     def resume_reading(self) -> None:
         """Report bytes again."""
-        self.paused = False
-        self.resumed.set()
+        self.reading_paused = False
+        self.reading_resumed.set()
 
     def write_eof(self) -> None:
         """End our side once what was written has left."""
-        self.finishing = True
+        self.eof_requested = True
         self.resume_reading()
-        self.written.set()
+        self.write_requested.set()
 
     def close(self) -> None:
         """End once what was written has left."""
-        self.closing = True
-        self.written.set()
+        self.close_requested = True
+        self.write_requested.set()
 
     def abort(self) -> None:
         """End at once with a reset."""
@@ -241,29 +247,29 @@
     def __init__(self, net: MemoryNet, address: str) -> None:
         self.net = net
         self.address = address
-        self.waiting: deque[tuple[bytes, str]] = deque()
+        self.unread_datagrams: deque[tuple[bytes, str]] = deque()
         self.changed = anyio.Event()
 
     async def send(self, data: bytes, address: str) -> None:
         """Send one datagram; it is lost where nobody receives it."""
         await anyio.lowlevel.checkpoint()
-        receiver = self.net.sockets.get(address)
-        if receiver is not None and len(receiver.waiting) < MAX_WAITING_DATAGRAMS:
-            receiver.waiting.append((data, self.address))
+        receiver = self.net.datagram_sockets.get(address)
+        if receiver is not None and len(receiver.unread_datagrams) < MAX_WAITING_DATAGRAMS:
+            receiver.unread_datagrams.append((data, self.address))
             receiver.changed.set()
             receiver.changed = anyio.Event()
 
     async def receive(self) -> tuple[bytes, str]:
         """Return the next datagram and the address it came from."""
         await anyio.lowlevel.checkpoint()
-        while not self.waiting:
+        while not self.unread_datagrams:
             await self.changed.wait()
-        return self.waiting.popleft()
+        return self.unread_datagrams.popleft()
 
     async def aclose(self) -> None:
         """Close the socket."""
-        if self.net.sockets.get(self.address) is self:
-            del self.net.sockets[self.address]
+        if self.net.datagram_sockets.get(self.address) is self:
+            del self.net.datagram_sockets[self.address]
         await anyio.lowlevel.checkpoint()
 
 
@@ -274,16 +280,16 @@
     """
 
     def __init__(self) -> None:
-        self.accepting: dict[str, Callable[[MemoryStream], None]] = {}
-        self.sockets: dict[str, MemoryDatagramSocket] = {}
+        self.listeners: dict[str, Callable[[MemoryStream], None]] = {}
+        self.datagram_sockets: dict[str, MemoryDatagramSocket] = {}
         self.task_group: TaskGroup
 
     async def connect(self, address: str, source: str = "") -> MemoryStream:
         """Open a stream; `source` names where it comes from. Raises OSError."""
         await anyio.lowlevel.checkpoint()
-        accept = self.accepting.get(address)
+        accept = self.listeners.get(address)
         if accept is None:
-            raise NobodyListensError(address)
+            raise NoListenerError(address)
         client_end, server_end = connected_pair(source)
         accept(server_end)
         return client_end
@@ -292,7 +298,7 @@
         self, address: str, handler: Callable[[Any], Awaitable[Any]], started: anyio.Event | None = None
     ) -> None:
         """Accept until cancelled, with a task that runs `handler` for each stream. Raises OSError."""
-        if address in self.accepting:
+        if address in self.listeners:
             raise AddressInUseError(address)
 
         async def handle(stream: MemoryStream) -> None:
@@ -303,13 +309,13 @@
             def accept(stream: MemoryStream) -> None:
                 tasks.start_soon(handle, stream)
 
-            self.accepting[address] = accept
+            self.listeners[address] = accept
             if started is not None:
                 started.set()
             try:
                 await anyio.sleep_forever()
             finally:
-                del self.accepting[address]
+                del self.listeners[address]
 
     async def connect_transport(self, address: str, protocol: TransportProtocol) -> Transport:
         """Connect; `protocol` may be called before this returns. Raises OSError."""
@@ -338,8 +344,8 @@
 
     async def datagrams(self, address: str) -> MemoryDatagramSocket:
         """Open a socket for datagrams. Raises OSError."""
-        if address in self.sockets:
+        if address in self.datagram_sockets:
             raise AddressInUseError(address)
-        self.sockets[address] = MemoryDatagramSocket(self, address)
+        self.datagram_sockets[address] = MemoryDatagramSocket(self, address)
         await anyio.lowlevel.checkpoint()
-        return self.sockets[address]
+        return self.datagram_sockets[address]
--- a/gullmount/net/tcp.py
+++ b/gullmount/net/tcp.py
@@ -57,7 +57,7 @@
         self.make_protocol = make_protocol
         self.closed = False
         self.received_eof = False
-        self.unsent_at_close = 0
+        self.unsent_bytes_at_close = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection is open."""
@@ -84,7 +84,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection ended; a reset is no clean end, else truncated data would pass for complete."""
-        self.unsent_at_close = self.transport.get_write_buffer_size()
+        self.unsent_bytes_at_close = self.transport.get_write_buffer_size()
         self.closed = True
         protocol, self.protocol = self.protocol, None
         if protocol is not None:
@@ -94,7 +94,7 @@
     @property
     def unsent_bytes(self) -> int:
         """Bytes written that the kernel has not accepted yet; after the end, those it never accepted."""
-        return self.unsent_at_close if self.closed else self.transport.get_write_buffer_size()
+        return self.unsent_bytes_at_close if self.closed else self.transport.get_write_buffer_size()
 
     @property
     def is_idle(self) -> bool:
--- a/gullmount/net/types.py
+++ b/gullmount/net/types.py
@@ -169,8 +169,8 @@
         reset()
         return
     try:
-        raw = stream.extra(SocketAttribute.raw_socket)
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        underlying_socket = stream.extra(SocketAttribute.raw_socket)
+        underlying_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     except (anyio.TypedAttributeLookupError, OSError):
         pass
     await anyio.aclose_forcefully(stream)
--- a/gullmount/rpc/client.py
+++ b/gullmount/rpc/client.py
@@ -74,11 +74,11 @@
         idle = self.idle[connection.address]
         reusable = False
         try:
-            answer = await read_response(connection.request(method, target, body))
+            response = await read_response(connection.request(method, target, body))
             reusable = connection.start_next_call() and len(idle) < MAX_IDLE_CONNECTIONS
             if reusable:
                 idle.append(connection)
-            return answer
+            return response
         finally:
             if not reusable:
                 await connection.aclose()
--- a/gullmount/rpc/errors.py
+++ b/gullmount/rpc/errors.py
@@ -64,7 +64,7 @@
 class TargetProblem(StrEnum):
     """What is wrong with the target of a request."""
 
-    NO_URL = "is no URL"
+    NOT_A_URL = "is no URL"
     NO_PATH = "has neither a path nor a host"
     TOO_MANY_FIELDS = "has a query of too many fields"
 
--- a/gullmount/rpc/line_stream.py
+++ b/gullmount/rpc/line_stream.py
@@ -28,16 +28,16 @@
     """
 
     max_line_bytes: int
-    rest: bytes = b""
-    begun_at: float = field(default=inf)
+    incomplete_line: bytes = b""
+    line_started_at: float = field(default=inf)
 
     def feed(self, data: bytes) -> list[bytes]:
         """Return the lines that `data` completes, empty ones left out; raise LineTooLongError."""
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        if max(map(len, [*lines, self.rest])) > self.max_line_bytes:
+        *lines, self.incomplete_line = (self.incomplete_line + data).split(b"\n")
+        if max(map(len, [*lines, self.incomplete_line])) > self.max_line_bytes:
             raise LineTooLongError(self.max_line_bytes)
-        if lines or self.begun_at == inf:
-            self.begun_at = anyio.current_time() if self.rest else inf
+        if lines or self.line_started_at == inf:
+            self.line_started_at = anyio.current_time() if self.incomplete_line else inf
         return [line for line in lines if line]
 
 
@@ -64,19 +64,21 @@
         line_timeout_seconds: from the first byte of a line to its end.
         response_timeout_seconds: from the call to the answer's status.
     """
-    answer_due = anyio.current_time() + min(max_silence_seconds, response_timeout_seconds)
-    connection = await _connect_before(net, address, answer_due)
+    response_deadline = anyio.current_time() + min(max_silence_seconds, response_timeout_seconds)
+    connection = await _connect_before(net, address, response_deadline)
     buffer = LineBuffer(max_line_bytes)
     parts = connection.request("GET" if body is None else "POST", target, body or b"")
     try:
         while True:
             now = anyio.current_time()
-            due = min(answer_due, now + max_silence_seconds, buffer.begun_at + line_timeout_seconds)
-            part = await _next_before(parts, due)
+            deadline = min(
+                response_deadline, now + max_silence_seconds, buffer.line_started_at + line_timeout_seconds
+            )
+            part = await _next_before(parts, deadline)
             if isinstance(part, ResponseHead):
                 if part.status != STATUS_OK:
                     raise StatusError(part.status, part.retry_after_seconds)
-                answer_due = inf
+                response_deadline = inf
                 continue
             for line in buffer.feed(part):
                 yield line
@@ -86,17 +88,19 @@
             await connection.aclose()
 
 
-async def _connect_before(net: StreamNet, address: str, due: float) -> ClientConnection:
+async def _connect_before(net: StreamNet, address: str, deadline: float) -> ClientConnection:
     try:
-        with anyio.fail_after(due - anyio.current_time()):
+        with anyio.fail_after(deadline - anyio.current_time()):
             return await connect(net, address, keep_alive=False)
     except TimeoutError:
         raise SilentPeerError from None
 
 
-async def _next_before(parts: AsyncGenerator[ResponseHead | bytes, None], due: float) -> ResponseHead | bytes:
+async def _next_before(
+    parts: AsyncGenerator[ResponseHead | bytes, None], deadline: float
+) -> ResponseHead | bytes:
     try:
-        with anyio.fail_after(max(0.0, due - anyio.current_time())):
+        with anyio.fail_after(max(0.0, deadline - anyio.current_time())):
             return await anext(parts)
     except StopAsyncIteration:
         raise StreamEndedError from None
--- a/gullmount/rpc/messages.py
+++ b/gullmount/rpc/messages.py
@@ -16,7 +16,7 @@
 
 MESSAGE_VERSION = 1  # of all messages; a message of another version is invalid
 
-Kind = TypeVar("Kind")
+Decoded = TypeVar("Decoded")
 Fields = dict[str, type | tuple[type, ...]]
 
 
@@ -24,17 +24,17 @@
     """Return `message` once it is an object with these fields; raise InvalidMessageError otherwise."""
     if not isinstance(message, dict):
         raise NotAnObjectError
-    for name, kind in fields.items():
+    for name, expected_type in fields.items():
         value = message.get(name)
-        if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+        if not isinstance(value, expected_type) or (isinstance(value, bool) and expected_type is not bool):
             raise InvalidFieldError(name, "is missing or wrong")
     return message
 
 
-def convert(value: Any, kind: type[Kind]) -> Kind:
+def convert(value: Any, expected_type: type[Decoded]) -> Decoded:
     """Return decoded JSON as an object of `kind`; raise InvalidMessageError where it does not fit."""
     try:
-        return msgspec.convert(value, type=kind)
+        return msgspec.convert(value, type=expected_type)
     except msgspec.ValidationError as error:
         raise InvalidMessageError(str(error)) from None
 
@@ -58,6 +58,6 @@
     return message
 
 
-def decode_as(data: bytes, kind: type[Kind]) -> Kind:
+def decode_as(data: bytes, expected_type: type[Decoded]) -> Decoded:
     """Return a message of this version as an object of `kind`; raise InvalidMessageError otherwise."""
-    return convert(decode_message(data), kind)
+    return convert(decode_message(data), expected_type)
--- a/gullmount/rpc/server.py
+++ b/gullmount/rpc/server.py
@@ -21,7 +21,7 @@
 BAD_REQUEST, INTERNAL_SERVER_ERROR, NOT_IMPLEMENTED = 400, 500, 501
 
 # What the stream itself raises once the other side has gone; any other OSError is the handler's own.
-CONNECTION_ENDED = (
+CONNECTION_ENDED_ERRORS = (
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
     anyio.EndOfStream,
@@ -121,25 +121,27 @@
     errors = errors or HandlerErrors()
     try:
         with errors.contained("request"):
-            await _serve_all(http, stream, handler, max_body_bytes)
+            await _serve_requests(http, stream, handler, max_body_bytes)
     finally:
         with anyio.CancelScope(shield=True):
             await anyio.aclose_forcefully(stream)
 
 
-async def _serve_all(http: h11.Connection, stream: Stream, handler: Handler, max_body_bytes: int) -> None:
+async def _serve_requests(
+    http: h11.Connection, stream: Stream, handler: Handler, max_body_bytes: int
+) -> None:
     """Answer one request after the other until the connection ends."""
     try:
-        while await _serve_one(http, stream, handler, max_body_bytes):
+        while await _serve_request(http, stream, handler, max_body_bytes):
             http.start_next_cycle()
-    except CONNECTION_ENDED:
+    except CONNECTION_ENDED_ERRORS:
         pass
     except h11.RemoteProtocolError as error:
-        with suppress(*CONNECTION_ENDED):
+        with suppress(*CONNECTION_ENDED_ERRORS):
             await _reject(http, stream, Response(BAD_REQUEST, f"not HTTP/1.1: {error}\n".encode()))
 
 
-async def _serve_one(http: h11.Connection, stream: Stream, handler: Handler, max_body_bytes: int) -> bool:
+async def _serve_request(http: h11.Connection, stream: Stream, handler: Handler, max_body_bytes: int) -> bool:
     """Answer one request; return whether another may follow."""
     request = await _read_request(http, stream, max_body_bytes)
     if request is None:
@@ -161,11 +163,11 @@
     """Return the handler's answer; where it fails, send 500 and raise what it raised."""
     try:
         return await handler(request, stream)
-    except CONNECTION_ENDED:
+    except CONNECTION_ENDED_ERRORS:
         raise
     except Exception as error:
         if not ends_process(error):
-            with suppress(*CONNECTION_ENDED):
+            with suppress(*CONNECTION_ENDED_ERRORS):
                 await _reject(http, stream, Response(INTERNAL_SERVER_ERROR, b"internal error\n"))
         raise
 
--- a/gullmount/rpc/target.py
+++ b/gullmount/rpc/target.py
@@ -36,7 +36,7 @@
     try:
         parts = urlsplit(target)
     except ValueError:
-        raise InvalidTargetError(TargetProblem.NO_URL) from None
+        raise InvalidTargetError(TargetProblem.NOT_A_URL) from None
     if not parts.scheme or not parts.netloc:
         raise InvalidTargetError(TargetProblem.NO_PATH)
     return parts.path or "/", parts.query
--- a/gullmount/settings/errors.py
+++ b/gullmount/settings/errors.py
@@ -6,7 +6,7 @@
 
 from gullmount.errors import GullmountError
 
-SHOWN_CHARACTERS = 20  # of an unknown value
+MAX_SHOWN_CHARACTERS = 20  # of an unknown value
 
 
 class SettingsProblem(StrEnum):
@@ -14,7 +14,7 @@
 
     MISSING = "missing"
     NOT_AN_OBJECT = "not an object"
-    NOT_A_FILLED_LIST = "not a list with entries"
+    NOT_A_NONEMPTY_LIST = "not a list with entries"
     NOT_A_NUMBER = "not a number"
     NOT_A_WHOLE_NUMBER = "not a whole number"
     NOT_A_TEXT = "not a text"
@@ -33,7 +33,7 @@
     """
 
     def __init__(self, path: str, problem: SettingsProblem, value: str | None = None) -> None:
-        shown = "" if value is None else f": {value[:SHOWN_CHARACTERS]!r}"
+        shown = "" if value is None else f": {value[:MAX_SHOWN_CHARACTERS]!r}"
         super().__init__(f"{path}: {problem}{shown}")
         self.path = path
         self.problem = problem
--- a/gullmount/settings/section.py
+++ b/gullmount/settings/section.py
@@ -11,7 +11,7 @@
 from gullmount.settings.errors import InvalidSettingsError, SettingsProblem
 from gullmount.settings.units import MAX_NUMBER, seconds_from_microseconds
 
-Meaning = TypeVar("Meaning")
+OptionValue = TypeVar("OptionValue")
 
 
 class SettingsSection:
@@ -42,7 +42,7 @@
         """Return the list in the field, which has one entry at least."""
         value = self.value(name)
         if not isinstance(value, list) or not value:
-            raise InvalidSettingsError(self.path_of(name), SettingsProblem.NOT_A_FILLED_LIST)
+            raise InvalidSettingsError(self.path_of(name), SettingsProblem.NOT_A_NONEMPTY_LIST)
         return value
 
     def sections(self, name: str) -> list[SettingsSection]:
@@ -87,12 +87,12 @@
             raise InvalidSettingsError(self.path_of(name), SettingsProblem.NOT_A_BOOLEAN)
         return value
 
-    def choice(self, name: str, meanings: Mapping[str, Meaning]) -> Meaning:
+    def choice(self, name: str, options: Mapping[str, OptionValue]) -> OptionValue:
         """Return what the word in the field means by the table."""
-        word = self.text(name)
-        if word not in meanings:
-            raise InvalidSettingsError(self.path_of(name), SettingsProblem.UNKNOWN_VALUE, word)
-        return meanings[word]
+        option = self.text(name)
+        if option not in options:
+            raise InvalidSettingsError(self.path_of(name), SettingsProblem.UNKNOWN_VALUE, option)
+        return options[option]
 
 
 def check_number(value: Any, path: str, minimum: float, maximum: float) -> float:
--- a/gullmount/yamlfile.py
+++ b/gullmount/yamlfile.py
@@ -10,8 +10,8 @@
 from ruamel.yaml.comments import CommentedMap, CommentedSeq
 from ruamel.yaml.error import MarkedYAMLError, YAMLError
 
-MOST = 1 << 20  # bytes a file may have: larger ones are no description but a mistake
-DEPTH = 40  # levels of nesting: ours need six; a parser without a bound can be made to overflow
+MAX_FILE_BYTES = 1 << 20  # bytes a file may have: larger ones are no description but a mistake
+MAX_NESTING_DEPTH = 40  # levels of nesting: ours need six; a parser without a bound can be made to overflow
 
 Model = TypeVar("Model", bound=BaseModel)
 
@@ -26,7 +26,7 @@
     """A file that cannot be used; the text is one line a fault: `file:line: key: what was expected`."""
 
 
-def line_of(tree: Any, path: tuple[Any, ...]) -> int:
+def find_line(tree: Any, path: tuple[Any, ...]) -> int:
     """The line, from 1, of the deepest part of `path` that the file holds."""
     line = 1
     for part in path:
@@ -42,27 +42,27 @@
     return line
 
 
-def plain(tree: Any, depth: int = 0) -> Any:
+def to_plain_data(tree: Any, depth: int = 0) -> Any:
     """The same without the parser's own types; raises ValueError where it is nested too deep."""
-    if depth > DEPTH:
-        raise ValueError(f"nested deeper than {DEPTH} levels")
+    if depth > MAX_NESTING_DEPTH:
+        raise ValueError(f"nested deeper than {MAX_NESTING_DEPTH} levels")
     if isinstance(tree, dict):
-        return {str(key): plain(value, depth + 1) for key, value in tree.items()}
+        return {str(key): to_plain_data(value, depth + 1) for key, value in tree.items()}
     if isinstance(tree, list):
-        return [plain(value, depth + 1) for value in tree]
+        return [to_plain_data(value, depth + 1) for value in tree]
     return tree
 
 
 def parse_yaml(text: str, name: str, model: type[Model]) -> Model:
     """Decode `text` into `model`; raises InvalidFileError. `name` stands for the file in what is said."""
-    if text.count("[") + text.count("{") > MOST // 16:
+    if text.count("[") + text.count("{") > MAX_FILE_BYTES // 16:
         raise InvalidFileError(f"{name}:1: too many brackets for a description")
     try:
         tree = YAML(typ="rt", pure=True).load(text)
-        data = plain(tree)
-    except MarkedYAMLError as fault:
-        line = fault.problem_mark.line + 1 if fault.problem_mark else 1
-        raise InvalidFileError(f"{name}:{line}: not YAML: {fault.problem}") from None
+        data = to_plain_data(tree)
+    except MarkedYAMLError as error:
+        line = error.problem_mark.line + 1 if error.problem_mark else 1
+        raise InvalidFileError(f"{name}:{line}: not YAML: {error.problem}") from None
     except RecursionError:
         raise InvalidFileError(f"{name}:1: nested too deep") from None
     except (
@@ -75,40 +75,40 @@
         AssertionError,
         NotImplementedError,
         IndexError,
-    ) as fault:
-        first = (str(fault).splitlines() or ["unreadable"])[0]
-        raise InvalidFileError(f"{name}:1: not YAML: {first}") from None
+    ) as error:
+        first_line = (str(error).splitlines() or ["unreadable"])[0]
+        raise InvalidFileError(f"{name}:1: not YAML: {first_line}") from None
     if not isinstance(data, dict):
         raise InvalidFileError(f"{name}:1: expected a mapping of keys at the top")
     try:
         return model.model_validate(data)
-    except ValidationError as fault:
-        raise InvalidFileError("\n".join(explain(fault, tree, name))) from None
+    except ValidationError as error:
+        raise InvalidFileError("\n".join(describe_errors(error, tree, name))) from None
 
 
-def explain(fault: ValidationError, tree: Any, name: str) -> list[str]:
-    said = []
-    for error in fault.errors(include_url=False):
-        path = error["loc"]
+def describe_errors(validation_error: ValidationError, tree: Any, name: str) -> list[str]:
+    messages = []
+    for detail in validation_error.errors(include_url=False):
+        path = detail["loc"]
         key = ".".join(str(part) for part in path) or "(top)"
-        message = error["msg"].removeprefix("Value error, ")
-        got = error.get("input")
-        simple = isinstance(got, str | int | float | bool) and error["type"] != "missing"
-        shown = f", not {got!r}"[:80] if simple else ""
-        said.append(f"{name}:{line_of(tree, path)}: {key}: {message}{shown}")
-    return said
+        expectation = detail["msg"].removeprefix("Value error, ")
+        rejected_value = detail.get("input")
+        is_scalar = isinstance(rejected_value, str | int | float | bool) and detail["type"] != "missing"
+        shown = f", not {rejected_value!r}"[:80] if is_scalar else ""
+        messages.append(f"{name}:{find_line(tree, path)}: {key}: {expectation}{shown}")
+    return messages
 
 
 def read_yaml(path: Path, model: type[Model]) -> Model:
     """Read and decode a file; raises InvalidFileError for whatever is wrong with it."""
     try:
         with path.open("rb") as file:
-            raw = file.read(MOST + 1)
-        if len(raw) > MOST:
-            raise InvalidFileError(f"{path}:1: larger than {MOST} bytes")
+            raw = file.read(MAX_FILE_BYTES + 1)
+        if len(raw) > MAX_FILE_BYTES:
+            raise InvalidFileError(f"{path}:1: larger than {MAX_FILE_BYTES} bytes")
         text = raw.decode()
-    except OSError as fault:
-        raise InvalidFileError(f"{path}: {fault.strerror}") from None
-    except UnicodeDecodeError as fault:
-        raise InvalidFileError(f"{path}:1: not UTF-8 at byte {fault.start}") from None
+    except OSError as error:
+        raise InvalidFileError(f"{path}: {error.strerror}") from None
+    except UnicodeDecodeError as error:
+        raise InvalidFileError(f"{path}:1: not UTF-8 at byte {error.start}") from None
     return parse_yaml(text, str(path), model)
