--- a/tests/net/test_handler_errors.py
+++ b/tests/net/test_handler_errors.py
@@ -10,7 +10,7 @@
 from gullmount.net import HandlerErrors
 
 
-def test_flood_of_one_error_is_logged_at_powers_of_two_and_another_error_at_once() -> None:
+def test_repeated_error_is_logged_at_powers_of_two_and_a_new_error_at_once() -> None:
     counts: list[tuple[str, int]] = []
 
     def log(event: str, **fields: Any) -> None:
@@ -28,13 +28,13 @@
 @pytest.mark.parametrize(
     "error", [ProcessFatalError(), ExceptionGroup("", [KeyError(), ProcessFatalError()])]
 )
-def test_error_that_must_end_the_process_passes_alone_and_in_a_group(error: Exception) -> None:
+def test_process_fatal_error_propagates_alone_and_in_a_group(error: Exception) -> None:
     errors = HandlerErrors(lambda event, **fields: None)
     with pytest.raises(type(error)), errors.contained("test"):
         raise error
     assert errors.count == 0
 
 
-def test_expected_errors_pass() -> None:
+def test_expected_error_propagates() -> None:
     with pytest.raises(KeyError), HandlerErrors().contained("test", expected_errors=(KeyError,)):
         raise KeyError
--- a/tests/rpc/test_client.py
+++ b/tests/rpc/test_client.py
@@ -27,20 +27,22 @@
 ADDRESS = "10.0.0.1:7000"
 
 
-def play(answer: Callable[[Request], Response], script: Callable[[MemoryNet], Awaitable[Any]]) -> Any:
+def run_with_server(
+    respond: Callable[[Request], Response], script: Callable[[MemoryNet], Awaitable[Any]]
+) -> Any:
     """Run a script beside a server in virtual time; return what it returns."""
 
     async def handle(request: Request, stream: Stream) -> Response:
-        return answer(request)
+        return respond(request)
 
-    async def connected(stream: Stream) -> None:
+    async def serve_connection(stream: Stream) -> None:
         await serve(stream, handle)
 
     async def main() -> Any:
         net = MemoryNet()
         async with anyio.create_task_group() as tasks:
             started = anyio.Event()
-            tasks.start_soon(net.serve, ADDRESS, connected, started)
+            tasks.start_soon(net.serve, ADDRESS, serve_connection, started)
             await started.wait()
             result = await script(net)
             tasks.cancel_scope.cancel()
@@ -49,79 +51,79 @@
     return run_in_virtual_time(main, 1)
 
 
-async def first_lines(net: MemoryNet, **limits: Any) -> list[bytes]:
+async def read_lines(net: MemoryNet, **limits: Any) -> list[bytes]:
     lines = []
     async for line in stream_lines(net, ADDRESS, "/watch", **limits):
         lines.append(line)
     return lines
 
 
-def test_a_call_returns_status_and_body_and_a_pool_calls_again() -> None:
+def test_call_returns_status_and_body_and_pool_reuses_its_connection() -> None:
     async def script(net: MemoryNet) -> list[Any]:
         pool = ConnectionPool(net)
-        out = [await call(net, ADDRESS, "POST", "/echo", b"one")]
-        out += [await pool.call(ADDRESS, "POST", "/echo", body) for body in (b"two", b"three")]
+        results = [await call(net, ADDRESS, "POST", "/echo", b"one")]
+        results += [await pool.call(ADDRESS, "POST", "/echo", body) for body in (b"two", b"three")]
         assert len(pool.idle[ADDRESS]) == 1
         await pool.aclose()
-        return out
+        return results
 
-    answers = play(lambda request: Response(200, request.body), script)
-    assert answers == [(200, b"one"), (200, b"two"), (200, b"three")]
+    responses = run_with_server(lambda request: Response(200, request.body), script)
+    assert responses == [(200, b"one"), (200, b"two"), (200, b"three")]
 
 
-def test_an_address_without_a_server_is_a_connect_error() -> None:
+def test_call_to_address_without_listener_raises_connect_error() -> None:
     async def script(net: MemoryNet) -> None:
         with pytest.raises(ConnectError, match="no connection"):
             await call(net, "10.0.0.9:1", "GET", "/")
 
-    play(lambda request: Response(200), script)
+    run_with_server(lambda request: Response(200), script)
 
 
-def test_an_answer_that_is_too_long_or_breaks_off_is_told() -> None:
+def test_too_long_or_reset_response_raises_its_error() -> None:
     async def script(net: MemoryNet) -> None:
         with pytest.raises(ResponseTooLongError):
             await call(net, ADDRESS, "GET", "/long")
         with pytest.raises(ConnectionLostError):
             await call(net, ADDRESS, "GET", "/reset")
 
-    def answer(request: Request) -> Response:
+    def respond(request: Request) -> Response:
         if request.target == "/long":
             return Response(200, b"x" * (MAX_RESPONSE_BYTES + 1))
         return Response(0, failure="reset")
 
-    play(answer, script)
+    run_with_server(respond, script)
 
 
-async def lines_of(parts: list[bytes], then_wait: bool = False) -> AsyncIterator[bytes]:
+async def send_parts(parts: list[bytes], stay_open: bool = False) -> AsyncIterator[bytes]:
     for part in parts:
         yield part
-    if then_wait:
+    if stay_open:
         await anyio.sleep(1000)
 
 
-def test_a_stream_that_ends_is_silent_or_sends_too_long_a_line_is_told() -> None:
+def test_line_stream_that_ends_falls_silent_or_sends_too_long_a_line_raises_its_error() -> None:
     async def script(net: MemoryNet) -> None:
         with pytest.raises(StreamEndedError):
-            await first_lines(net)
+            await read_lines(net)
         with pytest.raises(LineTooLongError):
-            await first_lines(net, max_line_bytes=2)
+            await read_lines(net, max_line_bytes=2)
         with pytest.raises(SilentPeerError):
-            await first_lines(net, max_silence_seconds=0.5)
+            await read_lines(net, max_silence_seconds=0.5)
 
-    answers = iter(
+    responses = iter(
         [
-            Response(200, lines=lines_of([b"a\nb", b"c\n"])),
-            Response(200, lines=lines_of([b"abc"])),
-            Response(200, lines=lines_of([b"a\n"], then_wait=True)),
+            Response(200, lines=send_parts([b"a\nb", b"c\n"])),
+            Response(200, lines=send_parts([b"abc"])),
+            Response(200, lines=send_parts([b"a\n"], stay_open=True)),
         ]
     )
-    play(lambda request: next(answers), script)
+    run_with_server(lambda request: next(responses), script)
 
 
-def test_a_rejected_stream_tells_its_status_and_when_to_come_back() -> None:
+def test_rejected_line_stream_reports_status_and_retry_after() -> None:
     async def script(net: MemoryNet) -> None:
         with pytest.raises(StatusError) as raised:
-            await first_lines(net)
+            await read_lines(net)
         assert raised.value.status == 503 and raised.value.retry_after_seconds == 1.5
 
-    play(lambda request: Response(503, headers={"retry-after-ms": "1500"}), script)
+    run_with_server(lambda request: Response(503, headers={"retry-after-ms": "1500"}), script)
--- a/tests/rpc/test_messages.py
+++ b/tests/rpc/test_messages.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "error"),
+    ("data", "error_type"),
     [
         (b"", NotJsonError),
         (b"{", NotJsonError),
@@ -28,13 +28,15 @@
         (b'{"v":2}', MessageVersionError),
     ],
 )
-def test_invalid_messages_are_told_apart_by_type(data: bytes, error: type[InvalidMessageError]) -> None:
-    with pytest.raises(error) as raised:
+def test_invalid_message_raises_the_error_of_its_problem(
+    data: bytes, error_type: type[InvalidMessageError]
+) -> None:
+    with pytest.raises(error_type) as raised:
         decode_message(data)
     assert isinstance(raised.value, InvalidMessageError) and isinstance(raised.value, GullmountError)
 
 
-def test_a_wrong_field_is_named() -> None:
+def test_error_names_the_invalid_field() -> None:
     with pytest.raises(InvalidFieldError, match="field x is missing or wrong") as raised:
         check_fields({"x": True}, {"x": int})
     assert raised.value.field == "x"
--- a/tests/rpc/test_server.py
+++ b/tests/rpc/test_server.py
@@ -17,7 +17,7 @@
 from gullmount.rpc.target import RequestTarget, parse_target
 from tests.support.fault_block import reserve_loopback_block
 
-GOOD = b"GET /good HTTP/1.1\r\nhost: x\r\n\r\n"
+VALID_REQUEST = b"GET /good HTTP/1.1\r\nhost: x\r\n\r\n"
 Handler = Callable[[Request, Stream], Awaitable[Response]]
 
 
@@ -26,7 +26,7 @@
     raise KeyError("planted")
 
 
-async def answer(request: Request, _stream: Stream) -> Response:
+async def respond(request: Request, _stream: Stream) -> Response:
     match request.target:
         case "/fails":
             raise KeyError("planted")
@@ -38,58 +38,62 @@
 
 
 async def exchange(net: TcpNet, address: str, data: bytes) -> bytes:
-    stream, got = await net.connect(address), b""
+    stream, received = await net.connect(address), b""
     await stream.send(data)
     with anyio.move_on_after(0.5):
         try:
             while True:
-                got += await stream.receive()
+                received += await stream.receive()
         except STREAM_ERRORS:
             pass
     await stream.aclose()
-    return got
+    return received
 
 
-def played(*requests: bytes, handler: Handler = answer) -> tuple[list[bytes], list[dict[str, Any]]]:
+def exchange_all(*requests: bytes, handler: Handler = respond) -> tuple[list[bytes], list[dict[str, Any]]]:
     """What each request got, the good one last, and what was logged."""
-    logged: list[dict[str, Any]] = []
+    log_lines: list[dict[str, Any]] = []
 
     def log(event: str, **fields: Any) -> None:
-        logged.append({"event": event, **fields})
+        log_lines.append({"event": event, **fields})
 
-    async def scene() -> list[bytes]:
-        with socket.socket() as free:
-            free.bind((f"{reserve_loopback_block()}.7.1", 0))
-            address = f"{reserve_loopback_block()}.7.1:{free.getsockname()[1]}"
+    async def main() -> list[bytes]:
+        with socket.socket() as free_socket:
+            free_socket.bind((f"{reserve_loopback_block()}.7.1", 0))
+            address = f"{reserve_loopback_block()}.7.1:{free_socket.getsockname()[1]}"
         net, errors, started = TcpNet(), HandlerErrors(log), anyio.Event()
 
-        async def connection(stream: Stream) -> None:
+        async def serve_connection(stream: Stream) -> None:
             await serve(stream, handler, errors=errors)
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(net.serve, address, connection, started)
+            tasks.start_soon(net.serve, address, serve_connection, started)
             await started.wait()
-            got = [await exchange(net, address, data) for data in (*requests, GOOD)]
+            received = [await exchange(net, address, data) for data in (*requests, VALID_REQUEST)]
             tasks.cancel_scope.cancel()
-        return got
+        return received
 
-    return anyio.run(scene), logged
+    return anyio.run(main), log_lines
 
 
 @pytest.mark.parametrize("path", [b"/fails", b"/disk"])
-def test_handler_that_raises_is_answered_500_and_the_next_connection_is_served(path: bytes) -> None:
+def test_raising_handler_gets_500_and_the_next_connection_is_served(path: bytes) -> None:
     """Guards against one request that ends the process that serves all."""
-    (failed, good), logged = played(b"GET %s HTTP/1.1\r\nhost: x\r\n\r\n" % path)
-    assert failed.startswith(b"HTTP/1.1 500 ") and good.startswith(b"HTTP/1.1 200 ")
-    assert [line["event"] for line in logged] == ["handler_failed"]
-    assert logged[0]["count"] == 1 and "planted" in logged[0]["traceback"]
+    (failed, valid), log_lines = exchange_all(b"GET %s HTTP/1.1\r\nhost: x\r\n\r\n" % path)
+    assert failed.startswith(b"HTTP/1.1 500 ") and valid.startswith(b"HTTP/1.1 200 ")
+    assert [line["event"] for line in log_lines] == ["handler_failed"]
+    assert log_lines[0]["count"] == 1 and "planted" in log_lines[0]["traceback"]
 
 
-def test_lines_that_raise_after_the_headers_end_their_connection_alone() -> None:
+def test_error_in_streamed_lines_truncates_that_response_alone() -> None:
     """Guards against a stream whose source fails: it is cut off, not ended as if it were complete."""
-    (cut, good), logged = played(b"GET /lines HTTP/1.1\r\nhost: x\r\n\r\n")
-    assert cut.startswith(b"HTTP/1.1 200 ") and b"first" in cut and not cut.endswith(b"0\r\n\r\n")
-    assert good.startswith(b"HTTP/1.1 200 ") and len(logged) == 1
+    (truncated, valid), log_lines = exchange_all(b"GET /lines HTTP/1.1\r\nhost: x\r\n\r\n")
+    assert (
+        truncated.startswith(b"HTTP/1.1 200 ")
+        and b"first" in truncated
+        and not truncated.endswith(b"0\r\n\r\n")
+    )
+    assert valid.startswith(b"HTTP/1.1 200 ") and len(log_lines) == 1
 
 
 @pytest.mark.parametrize(
@@ -102,34 +106,34 @@
         (b"HEAD /lines HTTP/1.1\r\nhost: x\r\n\r\n", b"200"),
     ],
 )
-def test_what_is_no_request_for_a_handler_gets_its_status_and_is_no_error_of_one(
+def test_malformed_or_bodyless_request_gets_its_status_without_a_handler_error(
     data: bytes, status: bytes
 ) -> None:
-    (got, good), logged = played(data)
-    assert got.startswith(b"HTTP/1.1 " + status) and good.startswith(b"HTTP/1.1 200 ") and not logged
+    (received, valid), log_lines = exchange_all(data)
+    assert received.startswith(b"HTTP/1.1 " + status) and valid.startswith(b"HTTP/1.1 200 ") and not log_lines
 
 
-def test_error_that_must_end_the_process_is_not_contained() -> None:
+def test_process_fatal_error_of_a_handler_propagates() -> None:
     """Guards against a replica that goes on answering once its disk has failed."""
 
-    async def fails(request: Request, stream: Stream) -> Response:
+    async def fail(request: Request, stream: Stream) -> Response:
         raise ProcessFatalError
 
-    async def scene() -> None:
+    async def main() -> None:
         client, server = connected_pair()
-        await client.send(GOOD)
-        await serve(server, fails)
+        await client.send(VALID_REQUEST)
+        await serve(server, fail)
 
     with pytest.raises(ProcessFatalError):
-        anyio.run(scene)
+        anyio.run(main)
 
 
 @pytest.mark.parametrize("target", ["//[", "/a//b", "//x/v1/register", "/"])
-def test_origin_form_is_a_path_whatever_it_looks_like(target: str) -> None:
+def test_origin_form_target_is_taken_as_a_path(target: str) -> None:
     assert parse_target(target) == RequestTarget(target)
 
 
-def test_target_has_its_path_and_the_first_value_of_each_field() -> None:
+def test_target_yields_path_and_first_value_of_each_query_field() -> None:
     assert parse_target("/w?register=a%20b&register=c&x=") == RequestTarget(
         "/w", {"register": "a b", "x": ""}
     )
@@ -139,6 +143,6 @@
 @pytest.mark.parametrize(
     "target", ["http://[::1/v1/register", "*", "", "a", "http:///x", "/w?" + "a=1&" * 200]
 )
-def test_target_without_meaning_is_an_invalid_message(target: str) -> None:
+def test_unparsable_target_raises_invalid_target_error(target: str) -> None:
     with pytest.raises(InvalidTargetError):
         parse_target(target)
--- a/tests/support/fault_block.py
+++ b/tests/support/fault_block.py
@@ -8,22 +8,22 @@
 
 from gullmount.scenarios.loopback import CLAIM_PORT
 
-CLAIMS: list[socket.socket] = []  # held until the process ends
+CLAIM_SOCKETS: list[socket.socket] = []  # held until the process ends
 
 
 @cache
-def reserve_loopback_block(first: int = 60, many: int = 150) -> str:
+def reserve_loopback_block(first_number: int = 60, block_count: int = 150) -> str:
     """`127.N` with N from `first` on. A socket bound among its addresses says that they are taken, as days
     do: numbers of processes alone meet now and then."""
-    for step in range(many):
-        block = f"127.{first + (os.getpid() + step) % many}"
-        claim = socket.socket()
+    for offset in range(block_count):
+        block = f"127.{first_number + (os.getpid() + offset) % block_count}"
+        claim_socket = socket.socket()
         try:
-            claim.bind((f"{block}.9.9", CLAIM_PORT))
+            claim_socket.bind((f"{block}.9.9", CLAIM_PORT))
         except OSError:
-            claim.close()
+            claim_socket.close()
             continue
-        CLAIMS.append(claim)
+        CLAIM_SOCKETS.append(claim_socket)
         return block
     raise OSError("all blocks of loopback addresses are taken")
 
--- a/tests/support/fuzzed_messages.py
+++ b/tests/support/fuzzed_messages.py
@@ -35,62 +35,62 @@
 MAX_MUTATIONS = 4
 
 
-def json_value(random: Random, depth: int = 0) -> object:
+def random_json_value(random: Random, depth: int = 0) -> object:
     """A value that JSON can hold, or nearly."""
-    shape = random.random()
-    if depth >= MAX_DEPTH or shape < 0.5:
+    draw = random.random()
+    if depth >= MAX_DEPTH or draw < 0.5:
         return random.choice(SCALARS)
-    if shape < 0.7:
-        return [json_value(random, depth + 1) for _ in range(random.randrange(4))]
-    return {random.choice(FIELDS): json_value(random, depth + 1) for _ in range(random.randrange(6))}
+    if draw < 0.7:
+        return [random_json_value(random, depth + 1) for _ in range(random.randrange(4))]
+    return {random.choice(FIELDS): random_json_value(random, depth + 1) for _ in range(random.randrange(6))}
 
 
-def json_text(random: Random) -> bytes:
+def random_json(random: Random) -> bytes:
     """An object of a message, most often of the version that is spoken."""
     if random.random() < 0.05:
         return random.choice((b"[" * 5000, b'{"a":' * 5000, b"NaN", b"\xff{}", b"", b"{"))
-    message = {random.choice(FIELDS): json_value(random) for _ in range(random.randrange(9))}
+    message = {random.choice(FIELDS): random_json_value(random) for _ in range(random.randrange(9))}
     if random.random() < 0.9:
         message["v"] = 1
     return json.dumps(message).encode("utf-8", "surrogatepass")
 
 
-def http_request(random: Random) -> bytes:
+def random_http_request(random: Random) -> bytes:
     """A request, whose body may be framed wrongly."""
     target = random.choice(TARGETS)
     headers = random.sample(HEADERS, random.randrange(5))
-    body = json_text(random) if random.random() < 0.6 else b""
+    body = random_json(random) if random.random() < 0.6 else b""
     if random.random() < 0.7:
         headers += ["Host: x", f"Content-Length: {len(body)}"]
-    line = f"{random.choice(METHODS[:2] * 6 + METHODS)} {target} HTTP/1.1"
-    return "\r\n".join([line, *headers, "", ""]).encode("latin-1", "replace") + body
+    request_line = f"{random.choice(METHODS[:2] * 6 + METHODS)} {target} HTTP/1.1"
+    return "\r\n".join([request_line, *headers, "", ""]).encode("latin-1", "replace") + body
 
 
-def mutated(random: Random, data: bytes) -> bytes:
+def mutate(random: Random, data: bytes) -> bytes:
     """The bytes with some of them changed, cut out, repeated or added."""
-    changed = bytearray(data)
+    buffer = bytearray(data)
     for _ in range(random.randrange(1, MAX_MUTATIONS + 1)):
-        if not changed:
+        if not buffer:
             break
-        at = random.randrange(len(changed))
+        offset = random.randrange(len(buffer))
         match random.randrange(5):
             case 0:
-                changed[at] ^= 1 << random.randrange(8)
+                buffer[offset] ^= 1 << random.randrange(8)
             case 1:
-                del changed[at : at + random.randrange(1, 20)]
+                del buffer[offset : offset + random.randrange(1, 20)]
             case 2:
-                changed[at:at] = changed[at : at + random.randrange(1, 40)]
+                buffer[offset:offset] = buffer[offset : offset + random.randrange(1, 40)]
             case 3:
-                changed[at:at] = random.randbytes(random.randrange(1, 9))
+                buffer[offset:offset] = random.randbytes(random.randrange(1, 9))
             case 4:
-                del changed[at:]
-    return bytes(changed)
+                del buffer[offset:]
+    return bytes(buffer)
 
 
 def hostile_request(random: Random) -> bytes:
     """A request, mutated half of the time."""
-    request = http_request(random)
-    return mutated(random, request) if random.random() < 0.5 else request
+    request = random_http_request(random)
+    return mutate(random, request) if random.random() < 0.5 else request
 
 
 def hostile_datagram(random: Random) -> bytes:
@@ -98,5 +98,5 @@
     if random.random() < 0.2:
         return random.randbytes(random.randrange(300))
     votes = (b"vote 42 0 back", b"42 0 3", b"%d %d %d" % (random.getrandbits(70), 0, 3))
-    text = json_text(random)[:1400] if random.random() < 0.7 else random.choice(votes)
-    return mutated(random, text) if random.random() < 0.5 else text
+    datagram = random_json(random)[:1400] if random.random() < 0.7 else random.choice(votes)
+    return mutate(random, datagram) if random.random() < 0.5 else datagram
--- a/tests/support/fuzzed_programs.py
+++ b/tests/support/fuzzed_programs.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from tests.support.fault_block import reserve_loopback_block
-from tests.support.fuzzed_messages import hostile_datagram, hostile_request, json_text, mutated
+from tests.support.fuzzed_messages import hostile_datagram, hostile_request, mutate, random_json
 from tests.support.platform_world import (
     HOST,
     READY_WITHIN,
@@ -33,11 +33,13 @@
 )
 from tests.support.proxy_edge import make_proxy_config
 
-ANSWER_SECONDS = 3.0  # for a request that nothing is wrong with
-SPOILT_SHARE = 0.5  # of what servers, discovery and the release controller write while messages are sent
-CLIENT_WAIT_SECONDS = 0.03  # before a hostile client closes, or goes on
+RESPONSE_TIMEOUT_SECONDS = 3.0  # for a request that nothing is wrong with
+MUTATED_WRITE_FRACTION = (
+    0.5  # of what servers, discovery and the release controller write while messages are sent
+)
+HOSTILE_CLIENT_TIMEOUT_SECONDS = 0.03  # before a hostile client closes, or goes on
 MAX_GROWTH_MIB = 24.0  # of resident memory in one play, buffers of the allocator included
-MAX_MORE_DESCRIPTORS = 40  # than before: connections to the double of each party, and what is lingering
+MAX_DESCRIPTOR_GROWTH = 40  # than before: connections to the double of each party, and what is lingering
 
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
@@ -53,7 +55,7 @@
 
     name: str
     address: str
-    good_request: bytes
+    probe_request: bytes
     command: list[str]
     log: Path
     gossip: tuple[str, str] | None = None
@@ -87,56 +89,56 @@
             line for line in self.log.read_text(errors="replace").splitlines() if "handler_failed" in line
         ]
 
-    async def answers(self) -> bytes:
+    async def send_probe(self) -> bytes:
         """The answer to the good request; b"" for none."""
-        return await exchange(self.address, self.good_request, ANSWER_SECONDS)
+        return await exchange(self.address, self.probe_request, RESPONSE_TIMEOUT_SECONDS)
 
-    async def until_ready(self) -> None:
-        until = asyncio.get_running_loop().time() + READY_WITHIN
-        while not (got := await self.answers()).startswith(b"HTTP/1.1 200"):
+    async def wait_until_ready(self) -> None:
+        deadline = asyncio.get_running_loop().time() + READY_WITHIN
+        while not (received := await self.send_probe()).startswith(b"HTTP/1.1 200"):
             assert self.exit_status is None, (self.name, self.log.read_text())
-            assert asyncio.get_running_loop().time() < until, (self.name, got, self.log.read_text())
+            assert asyncio.get_running_loop().time() < deadline, (self.name, received, self.log.read_text())
             await asyncio.sleep(0.1)
 
 
-async def exchange(address: str, data: bytes, within: float) -> bytes:
+async def exchange(address: str, data: bytes, timeout_seconds: float) -> bytes:
     """Send bytes on a connection of their own; what came back until it was whole, or the time was up."""
     host, port = address.split(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
     except OSError:
         return b""
-    got = b""
+    received = b""
     try:
         writer.write(data)
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout_seconds):
             head, body = await read_message(reader)
-            got = head + body
+            received = head + body
     except (OSError, EOFError, TimeoutError, ValueError, asyncio.LimitOverrunError):
         pass
     finally:
         writer.transport.abort()
-    return got
+    return received
 
 
-class SpoilingWriter:
+class MutatingWriter:
     """A writer that spoils some of what is written, while `plays.hostile`."""
 
-    def __init__(self, inner: asyncio.StreamWriter, play: Play) -> None:
+    def __init__(self, inner: asyncio.StreamWriter, fuzz_run: FuzzRun) -> None:
         self.inner = inner
-        self.play = play
+        self.fuzz_run = fuzz_run
 
     def write(self, data: bytes) -> None:
-        random = self.play.random
-        if self.play.hostile and random.random() < SPOILT_SHARE:
-            data = mutated(random, data) if random.random() < 0.7 else json_text(random) + b"\r\n"
+        random = self.fuzz_run.random
+        if self.fuzz_run.hostile and random.random() < MUTATED_WRITE_FRACTION:
+            data = mutate(random, data) if random.random() < 0.7 else random_json(random) + b"\r\n"
         self.inner.write(data)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.inner, name)
 
 
-class Play:
+class FuzzRun:
     """All programs of one play, and the doubles around them."""
 
     def __init__(self, seed: int, folder: Path) -> None:
@@ -147,90 +149,98 @@
         self.programs: list[Program] = []
         self.world = World()
 
-    def spoiling(self, script: Script) -> Script:
-        async def spoilt(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await script(reader, SpoilingWriter(writer, self))  # type: ignore[arg-type]
+    def mutating(self, script: Script) -> Script:
+        async def mutating_script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await script(reader, MutatingWriter(writer, self))  # type: ignore[arg-type]
 
-        return spoilt
+        return mutating_script
 
     def add(
         self,
         name: str,
         host: str,
         port: int,
-        good: bytes,
-        words: list[str],
-        conf: dict[str, Any],
-        **more: Any,
+        probe: bytes,
+        arguments: list[str],
+        config: dict[str, Any],
+        **options: Any,
     ) -> Program:
         path = self.folder / f"{name}.yaml"
-        path.write_text(json.dumps(conf))
-        command = [sys.executable, "-m", "gullmount", *words, str(path)]
-        program = Program(name, f"{host}:{port}", good, command, self.folder / f"{name}.log", **more)
+        path.write_text(json.dumps(config))
+        command = [sys.executable, "-m", "gullmount", *arguments, str(path)]
+        program = Program(name, f"{host}:{port}", probe, command, self.folder / f"{name}.log", **options)
         self.programs.append(program)
         return program
 
     def add_replicas(self) -> None:
         hosts = {number: f"{self.block}.1.{number}" for number in (1, 2, 3)}
         members = {str(number): f"{host}:7299" for number, host in hosts.items()}
-        good = http_post("/v1/register", {"v": 1, "register": "good"})
+        probe = http_post("/v1/register", {"v": 1, "register": "good"})
         for number, host in hosts.items():
-            disk = str(self.folder / f"disk-{number}")
-            told = {"number": number, "group": "g", "members": members, "disk": disk}
-            self.add(f"replica-{number}", host, 7299, good, ["replica", "--bootstrap"], told)
+            disk_path = str(self.folder / f"disk-{number}")
+            program_config = {"number": number, "group": "g", "members": members, "disk": disk_path}
+            self.add(f"replica-{number}", host, 7299, probe, ["replica", "--bootstrap"], program_config)
 
     def add_origin_and_relay(self) -> None:
         origin, relay = f"{self.block}.1.4", f"{self.block}.1.5"
-        good = b"GET /v1/in-force HTTP/1.1\r\nHost: x\r\n\r\n"
-        told = {"listen": f"{origin}:7400", "zones": ["a"], "relays": {"a1": "a"}}
-        told["kept"] = str(self.folder / "kept")
-        self.add("origin", origin, 7400, good, ["source", "--found"], told)
-        told = {"name": "a1", "zones": ["a"], "zone": "a", "listen": f"{relay}:7401", "rate": None}
-        self.add("relay", relay, 7401, good, ["relay"], {**told, "source": f"{origin}:7400"})
+        probe = b"GET /v1/in-force HTTP/1.1\r\nHost: x\r\n\r\n"
+        program_config = {"listen": f"{origin}:7400", "zones": ["a"], "relays": {"a1": "a"}}
+        program_config["kept"] = str(self.folder / "kept")
+        self.add("origin", origin, 7400, probe, ["source", "--found"], program_config)
+        program_config = {"name": "a1", "zones": ["a"], "zone": "a", "listen": f"{relay}:7401", "rate": None}
+        self.add("relay", relay, 7401, probe, ["relay"], {**program_config, "source": f"{origin}:7400"})
 
     async def add_generic_proxy(self) -> None:
-        here, peer = f"{self.block}.1.6", f"{self.block}.1.7"
-        good_server = await self.world.serve(9201, server_answering(OK))
-        spoilt_server = await self.world.serve(9202, self.spoiling(server_answering(OK)))
-        boxes = [
-            {"box": at, "zone": "a", "cell": 0, "build": 1, "state": "ready", "power": 1.0, "start": None,
-             "age": None} for at in (good_server, spoilt_server)
+        own_host, peer_host = f"{self.block}.1.6", f"{self.block}.1.7"
+        valid_server = await self.world.serve(9201, server_answering(OK))
+        mutating_server = await self.world.serve(9202, self.mutating(server_answering(OK)))
+        endpoints = [
+            {"box": server_address, "zone": "a", "cell": 0, "build": 1, "state": "ready", "power": 1.0,
+             "start": None, "age": None} for server_address in (valid_server, mutating_server)
         ]  # fmt: skip
-        roster = lines_script({"kind": "full", "index": 1, "boxes": boxes}, {"kind": "alive"})
-        news = {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}}
-        told = make_proxy_config(
+        discovery_script = lines_script({"kind": "full", "index": 1, "boxes": endpoints}, {"kind": "alive"})
+        release_message = {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}}
+        program_config = make_proxy_config(
             of=2,
-            listen=f"{here}:8000",
-            roster={"address": await self.world.serve(9203, self.spoiling(roster))},
-            launcher={"address": await self.world.serve(9204, self.spoiling(lines_script(news)))},
-            peers={"listen": f"{here}:7946", "addresses": {"1": f"{peer}:7946"}},
+            listen=f"{own_host}:8000",
+            roster={"address": await self.world.serve(9203, self.mutating(discovery_script))},
+            launcher={"address": await self.world.serve(9204, self.mutating(lines_script(release_message)))},
+            peers={"listen": f"{own_host}:7946", "addresses": {"1": f"{peer_host}:7946"}},
         ).model_dump(
             mode="json",
         )
-        good = b"GET /look HTTP/1.1\r\nHost: x\r\n\r\n"
-        self.add("proxy", here, 8000, good, ["proxy"], told, gossip=(f"{here}:7946", f"{peer}:7946"))
+        probe = b"GET /look HTTP/1.1\r\nHost: x\r\n\r\n"
+        self.add(
+            "proxy",
+            own_host,
+            8000,
+            probe,
+            ["proxy"],
+            program_config,
+            gossip=(f"{own_host}:7946", f"{peer_host}:7946"),
+        )
 
     async def add_platform_proxy(self) -> None:
-        peer = f"{self.block}.1.8"
+        peer_host = f"{self.block}.1.8"
         await self.world.add_server(9101, server_answering(OK))
-        await self.world.add_server(9102, self.spoiling(server_answering(OK)))
-        await self.world.serve(8101, self.spoiling(self.world.discovery))
-        await self.world.serve(8102, self.spoiling(self.world.control))
-        told = configuration(
-            peers=[f"{HOST}:8103", f"{peer}:8103"], settings={**SETTINGS, "Siblings": 2},
+        await self.world.add_server(9102, self.mutating(server_answering(OK)))
+        await self.world.serve(8101, self.mutating(self.world.discovery))
+        await self.world.serve(8102, self.mutating(self.world.control))
+        program_config = configuration(
+            peers=[f"{HOST}:8103", f"{peer_host}:8103"], settings={**SETTINGS, "Siblings": 2},
             known={"revision": 1, "complete": True, "members": self.world.members},
         )  # fmt: skip
         path = self.folder / "config.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(program_config))
         environment = {"PROXY_CONFIG": str(path), "PROXY_NAME": "n0"}
         self.programs.append(
             Program(
                 "run", f"{HOST}:8100", request_bytes("good", patience="2000"), ["/bin/sh", "-c", RUN],
-                self.folder / "run.log", (f"{HOST}:8103", f"{peer}:8103"), environment,
+                self.folder / "run.log", (f"{HOST}:8103", f"{peer_host}:8103"), environment,
             )
         )  # fmt: skip
 
-    async def begin(self) -> None:
+    async def start_all(self) -> None:
         self.add_replicas()
         self.add_origin_and_relay()
         await self.add_generic_proxy()
@@ -238,7 +248,7 @@
         for program in self.programs:
             await program.start()
         for program in self.programs:
-            await program.until_ready()
+            await program.wait_until_ready()
 
     async def attack(self, program: Program, messages: int) -> None:
         """Send hostile messages to one program, on connections of their own and as datagrams."""
@@ -250,32 +260,32 @@
             data = hostile_request(random)
             if random.random() < 0.2:
                 data += hostile_request(random)
-            await exchange(program.address, data, CLIENT_WAIT_SECONDS)
+            await exchange(program.address, data, HOSTILE_CLIENT_TIMEOUT_SECONDS)
             assert program.exit_status is None, (program.name, data, program.log.read_text()[-3000:])
 
     async def run(self, messages: int) -> list[str]:
         """Play; returns a line for each program. Raises AssertionError where one ended, or grew."""
-        await self.begin()
+        await self.start_all()
         await asyncio.gather(*(self.attack(program, messages // 4) for program in self.programs))  # warm up
-        before = {one.name: (one.resident_mib(), one.descriptors()) for one in self.programs}
+        before = {started.name: (started.resident_mib(), started.descriptors()) for started in self.programs}
         self.hostile = True
         await asyncio.gather(*(self.attack(program, messages) for program in self.programs))
         self.hostile = False
         for program in self.programs:
-            await program.until_ready()
-        return [self.checked(program, *before[program.name]) for program in self.programs]
+            await program.wait_until_ready()
+        return [self.check_program(program, *before[program.name]) for program in self.programs]
 
-    def checked(self, program: Program, resident_mib: float, descriptors: int) -> str:
+    def check_program(self, program: Program, resident_mib: float, descriptors: int) -> str:
         growth = program.resident_mib() - resident_mib
-        more = program.descriptors() - descriptors
+        fd_growth = program.descriptors() - descriptors
         contained = program.contained_errors()
-        line = f"{program.name}: {growth:+.1f} MiB, {more:+d} descriptors, {len(contained)} contained"
+        line = f"{program.name}: {growth:+.1f} MiB, {fd_growth:+d} descriptors, {len(contained)} contained"
         assert program.exit_status is None, (program.name, program.log.read_text()[-3000:])
-        assert growth < MAX_GROWTH_MIB and more < MAX_MORE_DESCRIPTORS, line
+        assert growth < MAX_GROWTH_MIB and fd_growth < MAX_DESCRIPTOR_GROWTH, line
         assert not contained, (line, contained[:3])
         return line
 
-    async def end(self) -> None:
+    async def stop_all(self) -> None:
         for program in self.programs:
             if program.process is not None and program.exit_status is None:
                 program.process.kill()
@@ -305,27 +315,27 @@
     return script
 
 
-def send_datagram(to: str, source: str, data: bytes) -> None:
+def send_datagram(target: str, source: str, data: bytes) -> None:
     """Send as the peer whose address `source` is."""
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
         host, port = source.split(":")
-        sender.bind((host, int(port)))
-        to_host, to_port = to.split(":")
-        sender.sendto(data, (to_host, int(to_port)))
+        udp_socket.bind((host, int(port)))
+        target_host, target_port = target.split(":")
+        udp_socket.sendto(data, (target_host, int(target_port)))
 
 
-def play(seed: int, messages: int) -> list[str]:
+def run_fuzz(seed: int, messages: int) -> list[str]:
     """Play one seed; see `Play.run`."""
 
-    async def scene(folder: Path) -> list[str]:
-        made = Play(seed, folder)
+    async def run_in_folder(folder: Path) -> list[str]:
+        new_run = FuzzRun(seed, folder)
         try:
-            return await made.run(messages)
+            return await new_run.run(messages)
         finally:
-            await made.end()
+            await new_run.stop_all()
 
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(scene(Path(folder)))
+        return asyncio.run(run_in_folder(Path(folder)))
 
 
 def main() -> None:
@@ -333,16 +343,16 @@
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--messages", type=int, default=400, help="to each program, in each seed")
-    chosen = parser.parse_args()
-    broken = 0
-    for seed in range(chosen.first, chosen.first + chosen.seeds):
+    parsed_arguments = parser.parse_args()
+    failed_count = 0
+    for seed in range(parsed_arguments.first, parsed_arguments.first + parsed_arguments.seeds):
         try:
-            print(f"seed {seed}:", "; ".join(play(seed, chosen.messages)), flush=True)
+            print(f"seed {seed}:", "; ".join(run_fuzz(seed, parsed_arguments.messages)), flush=True)
         except AssertionError as error:
-            broken += 1
+            failed_count += 1
             print(f"seed {seed}: BROKEN {error}", flush=True)
-    print(f"{broken} of {chosen.seeds} seeds broke")
-    sys.exit(broken > 0)
+    print(f"{failed_count} of {parsed_arguments.seeds} seeds broke")
+    sys.exit(failed_count > 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_fuzzed_programs.py
+++ b/tests/test_fuzzed_programs.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from tests.support.fuzzed_programs import play
+from tests.support.fuzzed_programs import run_fuzz
 
 SEED = 3
-MESSAGES = 60  # to each program; thousands by `python -m tests.support.fuzzed_programs`
+MESSAGES_PER_PROGRAM = 60  # to each program; thousands by `python -m tests.support.fuzzed_programs`
 
 
-def test_no_message_of_a_peer_ends_a_process_or_makes_it_grow() -> None:
+def test_hostile_messages_neither_end_a_process_nor_grow_its_memory() -> None:
     """Guards against `GET //[`, which ended replicas, the origin and relays, and against all of its kind."""
-    assert len(play(SEED, MESSAGES)) == 7
+    assert len(run_fuzz(SEED, MESSAGES_PER_PROGRAM)) == 7
