--- a/gullmount/errors.py
+++ b/gullmount/errors.py
@@ -1,11 +1,11 @@
-"""The root of the package's exceptions, so that a caller can catch every one of them by one name."""
+"""Base classes of the package's exceptions. A caller can catch all of them as GullmountError."""
 
 from __future__ import annotations
 
 
 class GullmountError(Exception):
-    """Base of all errors that the package raises; subclasses say what went wrong and whose fault it is."""
+    """Base of all errors that the package raises; a subclass says what went wrong and who caused it."""
 
 
 class ProcessFatalError(GullmountError):
-    """The process must end: an answer that it still gave could be wrong, as where its disk has failed."""
+    """The process must exit, because further responses could be wrong, such as after a disk failure."""
--- a/gullmount/settings/__init__.py
+++ b/gullmount/settings/__init__.py
@@ -1,8 +1,9 @@
-"""Decoding of the settings that the simulator's first message and the platform's configuration file hold.
+"""Decodes the settings in the simulator's first message and in the platform's configuration file.
 
-Only this package knows the settings' words. It decides nothing and does no I/O. Times are microseconds in the
-settings and float seconds in what the decoders return. A field that is not read is skipped; one that is read
-and is missing, of the wrong type or out of range raises `InvalidSettingsError`.
+Only this package knows the key names and the values of the settings. It makes no decisions and does no I/O.
+Times are microseconds in the settings and float seconds in what the decoders return. Fields that the decoders
+don't read are ignored. A field that they read raises `InvalidSettingsError` if it is missing, of the wrong
+type or out of range.
 """
 
 from gullmount.settings.errors import InvalidSettingsError, SettingsProblem
--- a/gullmount/settings/errors.py
+++ b/gullmount/settings/errors.py
@@ -1,4 +1,4 @@
-"""The error of the settings' decoders."""
+"""The error that the settings decoders raise."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 
 from gullmount.errors import GullmountError
 
-MAX_SHOWN_CHARACTERS = 20  # of an unknown value
+# An unknown value is cut to this length in the error message.
+MAX_SHOWN_CHARACTERS = 20
 
 
 class SettingsProblem(StrEnum):
@@ -24,12 +25,12 @@
 
 
 class InvalidSettingsError(GullmountError):
-    """A field of the settings cannot be used; whoever wrote the settings has to change it.
+    """A field of the settings is invalid; the author of the settings has to correct it.
 
     Attributes:
-        path: The field's place in the settings, such as `Grades[1].ObjectiveUs`.
-        problem: What is wrong with it.
-        value: The text that is not among the known ones, for `UNKNOWN_VALUE`.
+        path: The path of the field in the settings, such as `Grades[1].ObjectiveUs`.
+        problem: What is wrong with the field.
+        value: The unknown text for `UNKNOWN_VALUE`, None for every other problem.
     """
 
     def __init__(self, path: str, problem: SettingsProblem, value: str | None = None) -> None:
--- a/gullmount/settings/instance.py
+++ b/gullmount/settings/instance.py
@@ -1,4 +1,4 @@
-"""Decodes routes, the release settings and the limits of one proxy instance."""
+"""Decodes the routes, release settings and limits of one proxy instance."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 
 
 def decode_instance_settings(seed: int, fields: dict[str, Any]) -> InstanceSettings:
-    """Decode the settings of one instance; `seed` starts its random draws. Raises InvalidSettingsError."""
+    """Decode the settings of one instance, whose random generator starts from `seed`.
+
+    Raises InvalidSettingsError if a field is missing or invalid.
+    """
     settings = SettingsSection(fields)
     limits, server_rules = settings.section("Ceilings"), settings.section("Rules")
     release = settings.section("Specifics")
@@ -41,7 +44,8 @@
         gossip_enabled=limits.flag("Peers"),
         connection_idle_timeout=limits.duration("ConnIdleUs"),
         cold_capacity=server_rules.number("ColdFrom", MIN_DIVISOR, 1.0),
-        warm_up_time=max(MIN_DIVISOR, server_rules.duration("WarmAfterUs")),  # 0: a server is warm at once
+        # A duration of 0 means that a server is warm at once; the lower bound avoids a division by zero.
+        warm_up_time=max(MIN_DIVISOR, server_rules.duration("WarmAfterUs")),
         overload_multiple=server_rules.number("TipMultiple", MIN_DIVISOR),
         max_attempts=limits.whole_number("MaxAttempts", 1),
         may_watch_endpoints=settings.choice("Discovery", MAY_WATCH_ENDPOINTS),
@@ -50,9 +54,9 @@
 
 
 def decode_route(route: SettingsSection) -> Route:
-    """Decode one route; raises InvalidSettingsError."""
+    """Decode one route. Raises InvalidSettingsError."""
     retry_safety = route.choice("Semantics", RETRY_SAFETIES)
-    # Scope and window say nothing of other routes, and may be absent there.
+    # Only deduplicated routes have a scope and a window; other routes may omit both.
     deduplicated = retry_safety is RetrySafety.DEDUPLICATED
     return Route(
         name=route.text("Name"),
@@ -66,9 +70,9 @@
 
 
 def decode_release_settings(release: SettingsSection) -> ReleaseSettings:
-    """Decode how candidates are exposed and voted on; raises InvalidSettingsError.
+    """Decode how candidates are exposed and voted on. Raises InvalidSettingsError.
 
-    The settings know one candidate at a time, so that canary analysis judges it, never attribution.
+    These settings support one candidate at a time, so canary analysis evaluates it, not attribution.
     """
     return ReleaseSettings(
         exposure_limits=release.numbers("ExposureCaps", 0.0, 1.0),
--- a/gullmount/settings/peer_vote.py
+++ b/gullmount/settings/peer_vote.py
@@ -1,4 +1,4 @@
-"""The text by which proxy instances gossip their votes: build, stage and the vote's number."""
+"""Encodes and decodes gossiped votes: build, stage and vote number, separated by spaces."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def encode_peer_vote(peer_vote: PeerVote) -> str:
-    """Return the text that is sent to a peer."""
+    """Return the text to send to a peer."""
     return f"{peer_vote.build} {peer_vote.stage} {VOTE_NUMBERS[peer_vote.vote]}"
 
 
 def decode_peer_vote(text: str) -> PeerVote | None:
-    """Read a peer's text; None where it is no vote."""
+    """Decode a text from a peer; return None if it is not a valid vote."""
     match = PEER_VOTE_PATTERN.fullmatch(text)
     if match is None:
         return None
--- a/gullmount/settings/section.py
+++ b/gullmount/settings/section.py
@@ -1,6 +1,7 @@
-"""Reads single fields of a decoded JSON object and checks them.
+"""Reads and validates single fields of a decoded JSON object.
 
-The checks are made at decoding: a wrong value that is only used once traffic runs would fail only then.
+Fields are validated while the settings are decoded. Otherwise an invalid value would fail only when live
+traffic first uses it.
 """
 
 from __future__ import annotations
@@ -15,7 +16,10 @@
 
 
 class SettingsSection:
-    """One JSON object of the settings and its path in them. Every method raises InvalidSettingsError."""
+    """One JSON object of the settings, with its path for error messages.
+
+    The methods that read a field raise InvalidSettingsError if it is missing or invalid.
+    """
 
     def __init__(self, fields: Any, path: str = "") -> None:
         if not isinstance(fields, dict):
@@ -28,30 +32,30 @@
         return f"{self.path}.{name}" if self.path else name
 
     def value(self, name: str) -> Any:
-        """Return the field's value; a null counts as missing, as everywhere on the wire."""
+        """Return the value of the field; null counts as missing, as it does everywhere on the wire."""
         value = self.fields.get(name)
         if value is None:
             raise InvalidSettingsError(self.path_of(name), SettingsProblem.MISSING)
         return value
 
     def section(self, name: str) -> SettingsSection:
-        """Return the object in the field."""
+        """Return the section for the object in the field."""
         return SettingsSection(self.value(name), self.path_of(name))
 
     def values(self, name: str) -> list[Any]:
-        """Return the list in the field, which has one entry at least."""
+        """Return the list in the field, which must have at least one entry."""
         value = self.value(name)
         if not isinstance(value, list) or not value:
             raise InvalidSettingsError(self.path_of(name), SettingsProblem.NOT_A_NONEMPTY_LIST)
         return value
 
     def sections(self, name: str) -> list[SettingsSection]:
-        """Return the objects of the list in the field."""
+        """Return a section for each object of the list in the field."""
         path = self.path_of(name)
         return [SettingsSection(value, f"{path}[{index}]") for index, value in enumerate(self.values(name))]
 
     def numbers(self, name: str, minimum: float, maximum: float) -> list[float]:
-        """Return the numbers of the list in the field."""
+        """Return the list of numbers in the field, each between `minimum` and `maximum`."""
         path = self.path_of(name)
         return [
             check_number(value, f"{path}[{index}]", minimum, maximum)
@@ -59,22 +63,22 @@
         ]
 
     def number(self, name: str, minimum: float = 0.0, maximum: float = MAX_NUMBER) -> float:
-        """Return the number in the field, an int where it is written as one."""
+        """Return the number in the field, as an int if it is written without a fraction."""
         return check_number(self.value(name), self.path_of(name), minimum, maximum)
 
     def whole_number(self, name: str, minimum: int = 0) -> int:
-        """Return the number in the field, which may be written with a fraction of zero."""
+        """Return the whole number in the field, which may be written with a zero fraction such as 3.0."""
         value = self.number(name, minimum)
         if value != int(value):
             raise InvalidSettingsError(self.path_of(name), SettingsProblem.NOT_A_WHOLE_NUMBER)
         return int(value)
 
     def duration(self, name: str, minimum_microseconds: float = 0.0) -> float:
-        """Return the time in the field in seconds."""
+        """Return the duration in the field, converted from microseconds to seconds."""
         return seconds_from_microseconds(self.number(name, minimum_microseconds))
 
     def text(self, name: str) -> str:
-        """Return the text in the field, which is not empty."""
+        """Return the text in the field, which must not be empty."""
         value = self.value(name)
         if not isinstance(value, str) or not value:
             raise InvalidSettingsError(self.path_of(name), SettingsProblem.NOT_A_TEXT)
@@ -88,7 +92,7 @@
         return value
 
     def choice(self, name: str, options: Mapping[str, OptionValue]) -> OptionValue:
-        """Return what the word in the field means by the table."""
+        """Return the entry of `options` whose key is the text in the field."""
         option = self.text(name)
         if option not in options:
             raise InvalidSettingsError(self.path_of(name), SettingsProblem.UNKNOWN_VALUE, option)
@@ -96,8 +100,8 @@
 
 
 def check_number(value: Any, path: str, minimum: float, maximum: float) -> float:
-    """Return the value if it is a number within the bounds; raises InvalidSettingsError."""
-    # JSON's true is no number, though Python counts it as one.
+    """Return the value if it is a number within the bounds. Raises InvalidSettingsError otherwise."""
+    # In Python, bool is a subclass of int, but true is not a number in JSON.
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise InvalidSettingsError(path, SettingsProblem.NOT_A_NUMBER)
     if not minimum <= value <= maximum:
--- a/gullmount/settings/sockets.py
+++ b/gullmount/settings/sockets.py
@@ -14,20 +14,20 @@
     """Timeouts of sockets, in seconds."""
 
     route_timeouts: Mapping[str, float]
-    """How long a client waits at most, by the route's name."""
+    """Longest time that a client waits for its response, by route name."""
 
     connect_timeout: float
-    """For a connection to a server to come up."""
+    """Longest time to establish a connection to a server."""
 
     connection_idle_timeout: float
-    """After which a server closes an idle connection."""
+    """Idle time after which a server closes a connection."""
 
     vote_timeout: float
-    """For the release controller to answer a vote."""
+    """Longest time to wait for the release controller's response to a vote."""
 
 
 def decode_socket_settings(fields: dict[str, Any]) -> SocketSettings:
-    """Decode the timeouts of sockets; raises InvalidSettingsError."""
+    """Decode the socket timeouts. Raises InvalidSettingsError."""
     settings = SettingsSection(fields)
     limits = settings.section("Ceilings")
     return SocketSettings(
--- a/gullmount/yamlfile.py
+++ b/gullmount/yamlfile.py
@@ -1,4 +1,4 @@
-"""Reads a YAML file into a pydantic model; a fault names file, line, key and what was expected."""
+"""Reads a YAML file into a pydantic model. Errors name the file, line, key and expected value."""
 
 from __future__ import annotations
 
@@ -10,24 +10,26 @@
 from ruamel.yaml.comments import CommentedMap, CommentedSeq
 from ruamel.yaml.error import MarkedYAMLError, YAMLError
 
-MAX_FILE_BYTES = 1 << 20  # bytes a file may have: larger ones are no description but a mistake
-MAX_NESTING_DEPTH = 40  # levels of nesting: ours need six; a parser without a bound can be made to overflow
+# A larger file is a mistake, not a configuration.
+MAX_FILE_BYTES = 1 << 20
+# The project's files need six levels. Without a limit, deep nesting can make a parser overflow.
+MAX_NESTING_DEPTH = 40
 
 Model = TypeVar("Model", bound=BaseModel)
 
 
 class YamlModel(BaseModel):
-    """Base of all that is described in YAML: unknown keys are faults, nothing changes after the start."""
+    """Base of the models read from YAML. They reject unknown keys and are immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=False, allow_inf_nan=False)
 
 
 class InvalidFileError(Exception):
-    """A file that cannot be used; the text is one line a fault: `file:line: key: what was expected`."""
+    """A file is invalid; the message has one line `file:line: key: what was expected` for each error."""
 
 
 def find_line(tree: Any, path: tuple[Any, ...]) -> int:
-    """The line, from 1, of the deepest part of `path` that the file holds."""
+    """Return the line, counted from 1, of the deepest part of `path` that exists in the file."""
     line = 1
     for part in path:
         if isinstance(tree, CommentedMap) and part in tree:
@@ -37,13 +39,14 @@
         elif not isinstance(tree, CommentedMap | CommentedSeq):
             break
         else:
-            continue  # a tag of pydantic's, or a key that is missing: the line of what holds it
+            # The part is a tag that pydantic adds or a missing key: use the line of the enclosing node.
+            continue
         tree = tree[part]
     return line
 
 
 def to_plain_data(tree: Any, depth: int = 0) -> Any:
-    """The same without the parser's own types; raises ValueError where it is nested too deep."""
+    """Return `tree` without the parser's own types. Raises ValueError if it is nested too deeply."""
     if depth > MAX_NESTING_DEPTH:
         raise ValueError(f"nested deeper than {MAX_NESTING_DEPTH} levels")
     if isinstance(tree, dict):
@@ -54,9 +57,9 @@
 
 
 def parse_yaml(text: str, name: str, model: type[Model]) -> Model:
-    """Decode `text` into `model`; raises InvalidFileError. `name` stands for the file in what is said."""
+    """Decode `text` into `model`. Raises InvalidFileError; its message shows `name` as the file name."""
     if text.count("[") + text.count("{") > MAX_FILE_BYTES // 16:
-        raise InvalidFileError(f"{name}:1: too many brackets for a description")
+        raise InvalidFileError(f"{name}:1: too many brackets for a configuration file")
     try:
         tree = YAML(typ="rt", pure=True).load(text)
         data = to_plain_data(tree)
@@ -87,6 +90,7 @@
 
 
 def describe_errors(validation_error: ValidationError, tree: Any, name: str) -> list[str]:
+    """Return one line `file:line: key: what was expected` for each error of a validation."""
     messages = []
     for detail in validation_error.errors(include_url=False):
         path = detail["loc"]
@@ -100,7 +104,7 @@
 
 
 def read_yaml(path: Path, model: type[Model]) -> Model:
-    """Read and decode a file; raises InvalidFileError for whatever is wrong with it."""
+    """Read a file and decode it into `model`. Raises InvalidFileError if it is unreadable or invalid."""
     try:
         with path.open("rb") as file:
             raw = file.read(MAX_FILE_BYTES + 1)
