--- a/gullmount/net/__init__.py
+++ b/gullmount/net/__init__.py
@@ -1,4 +1,7 @@
-"""Byte streams, transports and datagrams by address, on sockets or in memory. Nothing here knows HTTP."""
+"""Byte streams, transports and datagram sockets by address, over real sockets or in memory.
+
+Nothing in this package depends on HTTP.
+"""
 
 from gullmount.net.handler_errors import HandlerErrors, ends_process
 from gullmount.net.memory import MemoryNet
--- a/gullmount/net/acceptor.py
+++ b/gullmount/net/acceptor.py
@@ -1,7 +1,8 @@
-"""Accepts connections by the listening socket itself, for transports by callbacks.
+"""Accepts connections on a listening socket directly, for callback-based transports.
 
-An event loop that finds no descriptor for a connection accepts it all the same and closes it, or lets all
-wait for a second. Here what waits stays in the kernel's backlog and is accepted some milliseconds later.
+The event loop's own server handles a shortage of file descriptors badly: it accepts a connection and closes
+it, or stops accepting for a second. Here, waiting connections stay in the kernel's backlog and are accepted
+some milliseconds later.
 """
 
 from __future__ import annotations
@@ -16,17 +17,20 @@
 
 from gullmount.net.handler_errors import HandlerErrors
 
-ACCEPT_RETRY_SECONDS = 0.02  # after a shortage
+# Delay before accepting again after a resource shortage.
+ACCEPT_RETRY_SECONDS = 0.02
 RESOURCE_SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-MAX_ACCEPTS_PER_TURN = 256  # in one turn of the event loop
+# Per turn of the event loop.
+MAX_ACCEPTS_PER_TURN = 256
+# Event loop turns that `Acceptor.stop` may take to empty the backlog.
 MAX_DRAIN_TURNS = 1024
 
 
 class Acceptor:
-    """Accepts on one listening socket from `start` to `stop`.
+    """Accepts connections on one listening socket from `start` until `stop`.
 
     Attributes:
-        listener: the listening socket.
+        listener: The listening socket, which `stop` closes.
     """
 
     def __init__(
@@ -43,12 +47,15 @@
         self._retry_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Accept whenever a connection waits."""
+        """Start to accept connections as they arrive."""
         self._retry_timer = None
         self._loop.add_reader(self.listener.fileno(), self._accept_waiting)
 
     async def stop(self) -> None:
-        """Accept what waits in the kernel, which would be reset as the listener closes, and close it."""
+        """Accept the connections in the backlog, then close the listener.
+
+        The kernel would reset the connections that are still in the backlog when the listener closes.
+        """
         self._pause()
         for _ in range(MAX_DRAIN_TURNS):
             if not is_readable(self.listener.fileno()) or not self._accept_batch():
@@ -69,7 +76,7 @@
             self._retry_timer = self._loop.call_later(ACCEPT_RETRY_SECONDS, self.start)
 
     def _accept_batch(self) -> bool:
-        """Return whether accepting may go on at once."""
+        """Accept up to `MAX_ACCEPTS_PER_TURN` connections; return False if accepting has to pause."""
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 connection, _ = self.listener.accept()
@@ -98,7 +105,7 @@
 
 
 def listening_socket(host: str, port: int, backlog: int) -> socket.socket:
-    """Return a socket that listens without blocking. Raises OSError."""
+    """Return a non-blocking listening socket. Raises OSError."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listener = socket.create_server((host, port), family=family, backlog=backlog)
     listener.setblocking(False)
@@ -106,7 +113,10 @@
 
 
 def is_readable(descriptor: int) -> bool:
-    """Whether bytes, an end or a connection wait there; descriptors may have any number."""
+    """Return whether unread bytes, an end of stream or a new connection is pending on the descriptor.
+
+    It uses poll, which accepts descriptors of any number.
+    """
     poll = select.poll()
     poll.register(descriptor, select.POLLIN)
     return bool(poll.poll(0))
--- a/gullmount/net/arrival.py
+++ b/gullmount/net/arrival.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a TCP connection that was not read yet: when data came, and whether it ended."""
+"""Queries the kernel about unread TCP connections: when data last arrived and whether the peer ended."""
 
 from __future__ import annotations
 
@@ -6,13 +6,15 @@
 import socket
 import struct
 
-TCP_INFO_BYTES = 104  # the fields that every Linux since 2.6.2 has
-LAST_DATA_RECEIVED_OFFSET = 52  # of tcpi_last_data_recv, in milliseconds (linux/tcp.h)
+# Size of the part of struct tcp_info that every Linux since 2.6.2 has.
+TCP_INFO_BYTES = 104
+# Byte offset in struct tcp_info (linux/tcp.h) of tcpi_last_data_recv, which is in milliseconds.
+LAST_DATA_RECEIVED_OFFSET = 52
 MILLISECONDS_PER_SECOND = 1000
 
 
 def seconds_since_data(descriptor: int) -> float | None:
-    """Return for how long the newest bytes of the connection have been there; None where nobody knows."""
+    """Return the seconds since the connection last received data; None if the kernel doesn't tell."""
     if not hasattr(socket, "TCP_INFO") or descriptor < 0:
         return None
     try:
@@ -25,12 +27,13 @@
     except (OSError, struct.error):
         return None
     finally:
-        connection.detach()  # the descriptor is the caller's
+        # The descriptor belongs to the caller, so it stays open.
+        connection.detach()
     return milliseconds / MILLISECONDS_PER_SECOND
 
 
 def has_ended(descriptor: int) -> bool:
-    """Return whether the other side has ended or reset the connection; unread data may lie before that."""
+    """Return whether the peer has closed or reset the connection, even if unread data precedes the end."""
     if descriptor < 0 or not hasattr(select, "POLLRDHUP"):
         return False
     poll = select.poll()
--- a/gullmount/net/handler_errors.py
+++ b/gullmount/net/handler_errors.py
@@ -1,4 +1,7 @@
-"""Unexpected errors of handlers: each ends the one connection or datagram it served, not the process."""
+"""Contains unexpected errors of handlers.
+
+An error ends the connection or datagram that the handler served, not the process.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +16,15 @@
 
 from gullmount.errors import ProcessFatalError
 
-HANDLER_FAILED = "handler_failed"  # the log event
+# Name of the log event.
+HANDLER_FAILED = "handler_failed"
 
 Log = Callable[..., None]
-"""Called with an event and its fields by name."""
+"""A log function, called with an event name and its fields as keyword arguments."""
 
 
 def log_to_standard_error(event: str, **fields: Any) -> None:
-    """Write one line of JSON; where nobody reads, it is lost."""
+    """Write one line of JSON to standard error. The line is lost if standard error can't be written."""
     try:
         sys.stderr.write(msgspec.json.encode({"event": event, **fields}).decode() + "\n")
     except (OSError, ValueError):
@@ -28,24 +32,28 @@
 
 
 class HandlerErrors:
-    """Contains, counts and logs what handlers raise unexpectedly.
+    """Contains, counts and logs the unexpected errors of handlers.
 
-    Two kinds are not contained: cancellation, and `ProcessFatalError`, after which the process must end.
+    It does not contain cancellation, nor `ProcessFatalError`, after which the process must exit.
 
     Attributes:
-        count: errors contained so far.
+        log: The log function.
+        count: The number of errors contained so far.
     """
 
     def __init__(self, log: Log = log_to_standard_error) -> None:
         self.log = log
         self.count = 0
-        self._count_by_location: Counter[str] = Counter()  # bounded by the lines of the program
+        # Its size is bounded by the number of source lines of the program.
+        self._count_by_location: Counter[str] = Counter()
 
     @contextmanager
     def contained(self, handler: str, expected_errors: tuple[type[Exception], ...] = ()) -> Iterator[None]:
-        """Contain an error of the body, unless it is one of `expected_errors`, which the caller expects.
+        """Contain an error of the with block, unless the caller expects it and handles it itself.
 
-        `handler` says in the log what was served.
+        Args:
+            handler: What the block serves, for the log.
+            expected_errors: The error types that propagate to the caller.
         """
         try:
             yield
@@ -57,7 +65,10 @@
             self.record(handler, error)
 
     def record(self, handler: str, error: Exception) -> None:
-        """Count an error, and log the 1st, 2nd, 4th and so on of its place: a flood must not fill the log."""
+        """Count an error, and log the 1st, 2nd, 4th, 8th and so on from the same source line.
+
+        The log thus stays small when one error repeats very often.
+        """
         self.count += 1
         location = raise_location(error)
         self._count_by_location[location] += 1
@@ -76,14 +87,17 @@
 
 
 def ends_process(error: BaseException) -> bool:
-    """Whether the error, or one of a group, must end the process."""
+    """Return whether the error, or an error of the group, is a `ProcessFatalError`."""
     if isinstance(error, BaseExceptionGroup):
         return error.subgroup(ProcessFatalError) is not None
     return isinstance(error, ProcessFatalError)
 
 
 def raise_location(error: BaseException) -> str:
-    """Return type, file and line of what was raised; of the first one of a group."""
+    """Return the type of an error, and the file and line that raised it.
+
+    For a group it describes the first error.
+    """
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     frames = traceback.extract_tb(error.__traceback__)
--- a/gullmount/net/memory.py
+++ b/gullmount/net/memory.py
@@ -1,6 +1,6 @@
-"""A network in memory, so that a whole deployment runs in one process and in virtual time.
+"""An in-memory network, so that a whole deployment can run in one process and in virtual time.
 
-It lacks what only real sockets show: partial writes, the kernel's buffers, incomplete handshakes.
+It does not reproduce partial writes, kernel buffers and incomplete handshakes, which only real sockets have.
 """
 
 from __future__ import annotations
@@ -15,43 +15,49 @@
 from gullmount.errors import GullmountError
 from gullmount.net.types import STREAM_ERRORS, Transport, TransportProtocol
 
-MAX_BUFFERED_BYTES = 65536  # in one direction before a sender waits: a common socket buffer
-MAX_WAITING_DATAGRAMS = 1024  # unread; later ones are dropped, as a kernel does
+# Bytes buffered in one direction before a sender has to wait. It is the size of a common socket buffer.
+MAX_BUFFERED_BYTES = 65536
+# Unread datagrams of one socket. Further ones are dropped, as a kernel does.
+MAX_UNREAD_DATAGRAMS = 1024
 
 
 class NoListenerError(GullmountError, ConnectionRefusedError):
-    """A stream is opened to an address at which nobody listens."""
+    """A stream was opened to an address without a listener."""
 
     def __init__(self, address: str) -> None:
-        super().__init__(f"nobody listens at {address}")
+        super().__init__(f"no listener at {address}")
 
 
 class AddressInUseError(GullmountError, OSError):
-    """Somebody listens at the address already."""
+    """The address already has a listener or a datagram socket."""
 
     def __init__(self, address: str) -> None:
         super().__init__(f"address in use: {address}")
 
 
 class StreamDirection:
-    """One direction of a stream."""
+    """The state of one direction of a stream.
+
+    Attributes:
+        reset: Whether either side has aborted the stream.
+    """
 
     def __init__(self) -> None:
         self.chunks: deque[bytes] = deque()
         self.buffered_bytes = 0
         self.sender_closed = False
-        self.reset = False  # either side aborted
+        self.reset = False
         self.receiver_closed = False
         self.changed = anyio.Event()
 
     def wake(self) -> None:
-        """Wake whoever waits for a change."""
+        """Wake the tasks that wait for a change."""
         self.changed.set()
         self.changed = anyio.Event()
 
 
 class MemoryStream(ByteStream):
-    """One end of a connection."""
+    """One end of an in-memory connection."""
 
     def __init__(self, incoming: StreamDirection, outgoing: StreamDirection, source: str) -> None:
         self.incoming = incoming
@@ -60,7 +66,7 @@
         self.closed = False
 
     async def receive(self, max_bytes: int = MAX_BUFFERED_BYTES) -> bytes:
-        """Return the next bytes. Raises one of STREAM_ERRORS."""
+        """Return the next bytes, waiting for them if there are none. Raises one of STREAM_ERRORS."""
         await anyio.lowlevel.checkpoint()
         direction = self.incoming
         while True:
@@ -81,7 +87,7 @@
             await direction.changed.wait()
 
     async def send(self, item: bytes) -> None:
-        """Write, waiting while the buffer is full. Raises one of STREAM_ERRORS."""
+        """Write `item`, waiting while the buffer is full. Raises one of STREAM_ERRORS."""
         await anyio.lowlevel.checkpoint()
         direction = self.outgoing
         while True:
@@ -98,13 +104,17 @@
             await direction.changed.wait()
 
     async def send_eof(self) -> None:
-        """End our side."""
+        """Close the sending direction."""
         self.outgoing.sender_closed = True
         self.outgoing.wake()
         await anyio.lowlevel.checkpoint()
 
     async def aclose(self) -> None:
-        """Close; what was sent can still be read, unless unread data here makes it a reset, as in TCP."""
+        """Close the stream.
+
+        The peer can still read the data sent before. As in TCP, unread data on this side turns the close
+        into a reset.
+        """
         if not self.closed:
             self.closed = True
             self.outgoing.sender_closed = True
@@ -116,7 +126,7 @@
         await anyio.lowlevel.checkpoint()
 
     def abort(self) -> None:
-        """Close at once with a reset."""
+        """Close the stream immediately with a reset."""
         if not self.closed:
             self.closed = True
             self.outgoing.reset = self.incoming.reset = True
@@ -125,13 +135,13 @@
 
 
 def connected_pair(source: str = "") -> tuple[MemoryStream, MemoryStream]:
-    """Return both ends of a new connection, the connecting side first."""
+    """Return both ends of a new connection, the client's end first."""
     to_server, to_client = StreamDirection(), StreamDirection()
     return MemoryStream(to_client, to_server, source), MemoryStream(to_server, to_client, source)
 
 
 class MemoryTransport:
-    """A memory stream by callbacks; `run` it in a task."""
+    """A callback-based transport over a memory stream. Its owner runs `run` in a task."""
 
     def __init__(self, stream: MemoryStream) -> None:
         self.stream = stream
@@ -144,7 +154,7 @@
         self.reading_resumed = anyio.Event()
 
     async def run(self) -> None:
-        """Report what comes, until the stream ends."""
+        """Pass received data to the protocol until the stream ends."""
         clean = False
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.write_outgoing)
@@ -160,13 +170,14 @@
                 clean = isinstance(end, anyio.EndOfStream)
             tasks.cancel_scope.cancel()
         if clean:
-            await self.stream.aclose()  # as TcpTransport does
+            # TcpTransport, too, closes its own side when the peer ends.
+            await self.stream.aclose()
         protocol, self.protocol = self.protocol, None
         if protocol is not None:
             protocol.connection_ended(clean)
 
     async def write_outgoing(self) -> None:
-        """Pass on what is written, until the transport closes or breaks."""
+        """Send the written data until the transport is closed or the stream breaks."""
         try:
             while True:
                 while self.outgoing:
@@ -185,12 +196,12 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes written that the stream has not accepted yet."""
+        """Written bytes that the stream has not accepted yet."""
         return sum(map(len, self.outgoing))
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is open and neither bytes nor an end wait unread."""
+        """Whether the transport is open and neither data nor an end of stream is pending unread."""
         direction = self.stream.incoming
         return not (
             self.stream.closed
@@ -202,47 +213,47 @@
 
     @property
     def peer_has_ended(self) -> bool:
-        """Whether the other side has ended or reset it, read here or not."""
+        """Whether the peer has closed or reset the connection, even if that was not read yet."""
         return self.stream.incoming.sender_closed or self.stream.incoming.reset
 
     def seconds_since_data(self) -> float | None:
-        """Return None: nobody knows when the bytes came."""
+        """Return None, as arrival times are unknown here."""
         return None
 
     def write(self, data: bytes) -> None:
-        """Write without waiting."""
+        """Queue data to send, without waiting."""
         self.outgoing.append(data)
         self.write_requested.set()
 
     def pause_reading(self) -> None:
-        """Report no bytes until `resume_reading`."""
+        """Pass no data to the protocol until `resume_reading`."""
         self.reading_paused = True
 
     def resume_reading(self) -> None:
-        """Report bytes again."""
+        """Pass data to the protocol again."""
         self.reading_paused = False
         self.reading_resumed.set()
 
     def write_eof(self) -> None:
-        """End our side once what was written has left."""
+        """Close the sending direction once the queued data is sent."""
         self.eof_requested = True
         self.resume_reading()
         self.write_requested.set()
 
     def close(self) -> None:
-        """End once what was written has left."""
+        """Close the transport once the queued data is sent."""
         self.close_requested = True
         self.write_requested.set()
 
     def abort(self) -> None:
-        """End at once with a reset."""
+        """Discard the queued data and reset the connection."""
         self.outgoing.clear()
         self.stream.abort()
         self.resume_reading()
 
 
 class MemoryDatagramSocket:
-    """A socket for datagrams in memory."""
+    """An in-memory datagram socket."""
 
     def __init__(self, net: MemoryNet, address: str) -> None:
         self.net = net
@@ -251,16 +262,16 @@
         self.changed = anyio.Event()
 
     async def send(self, data: bytes, address: str) -> None:
-        """Send one datagram; it is lost where nobody receives it."""
+        """Send one datagram. It is lost if the address has no socket or the socket's buffer is full."""
         await anyio.lowlevel.checkpoint()
         receiver = self.net.datagram_sockets.get(address)
-        if receiver is not None and len(receiver.unread_datagrams) < MAX_WAITING_DATAGRAMS:
+        if receiver is not None and len(receiver.unread_datagrams) < MAX_UNREAD_DATAGRAMS:
             receiver.unread_datagrams.append((data, self.address))
             receiver.changed.set()
             receiver.changed = anyio.Event()
 
     async def receive(self) -> tuple[bytes, str]:
-        """Return the next datagram and the address it came from."""
+        """Return the next datagram and the address of its sender."""
         await anyio.lowlevel.checkpoint()
         while not self.unread_datagrams:
             await self.changed.wait()
@@ -274,9 +285,12 @@
 
 
 class MemoryNet:
-    """A network of its own, whose addresses are any text.
+    """A separate in-memory network, in which any text can be an address.
 
-    `task_group` is the task group in which transports run; whoever uses transports sets it.
+    Attributes:
+        listeners: The functions that accept a new connection, by address.
+        datagram_sockets: The open datagram sockets by address.
+        task_group: The task group in which transports run. A caller that uses transports has to set it.
     """
 
     def __init__(self) -> None:
@@ -285,7 +299,7 @@
         self.task_group: TaskGroup
 
     async def connect(self, address: str, source: str = "") -> MemoryStream:
-        """Open a stream; `source` names where it comes from. Raises OSError."""
+        """Open a stream to `address`; `source` is the host that the peer sees. Raises OSError."""
         await anyio.lowlevel.checkpoint()
         accept = self.listeners.get(address)
         if accept is None:
@@ -297,7 +311,7 @@
     async def serve(
         self, address: str, handler: Callable[[Any], Awaitable[Any]], started: anyio.Event | None = None
     ) -> None:
-        """Accept until cancelled, with a task that runs `handler` for each stream. Raises OSError."""
+        """Accept streams until cancelled and run `handler` for each in a task. Raises OSError."""
         if address in self.listeners:
             raise AddressInUseError(address)
 
@@ -318,7 +332,7 @@
                 del self.listeners[address]
 
     async def connect_transport(self, address: str, protocol: TransportProtocol) -> Transport:
-        """Connect; `protocol` may be called before this returns. Raises OSError."""
+        """Open a transport; `protocol` may be called before this returns. Raises OSError."""
         transport = MemoryTransport(await self.connect(address))
         transport.protocol = protocol
         self.task_group.start_soon(transport.run)
@@ -330,7 +344,10 @@
         make_protocol: Callable[[Transport], TransportProtocol | None],
         started: anyio.Event | None = None,
     ) -> None:
-        """Accept until cancelled; where `make_protocol` returns none, end the connection. Raises OSError."""
+        """Accept transports until cancelled. Raises OSError.
+
+        A connection for which `make_protocol` returns None is aborted.
+        """
 
         async def handle(stream: MemoryStream) -> None:
             transport = MemoryTransport(stream)
@@ -338,12 +355,13 @@
             if transport.protocol is None:
                 transport.abort()
             else:
-                self.task_group.start_soon(transport.run)  # it outlives the listener
+                # The transport runs in this task group because it outlives the listener.
+                self.task_group.start_soon(transport.run)
 
         await self.serve(address, handle, started)
 
     async def datagrams(self, address: str) -> MemoryDatagramSocket:
-        """Open a socket for datagrams. Raises OSError."""
+        """Open a datagram socket. Raises OSError."""
         if address in self.datagram_sockets:
             raise AddressInUseError(address)
         self.datagram_sockets[address] = MemoryDatagramSocket(self, address)
--- a/gullmount/net/tcp.py
+++ b/gullmount/net/tcp.py
@@ -1,4 +1,4 @@
-"""The network of the machine: TCP and UDP."""
+"""Streams, transports and datagram sockets over the machine's TCP and UDP."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 from gullmount.net.handler_errors import HandlerErrors
 from gullmount.net.types import DatagramSocket, Stream, Transport, TransportProtocol, parse_address
 
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted: a burst of new clients must not be refused
+# Connections that may wait to be accepted. A burst of new clients must not be refused.
+LISTEN_BACKLOG = 1024
 
 
 class UdpDatagramSocket:
-    """A UDP socket."""
+    """A UDP socket that several tasks may send on."""
 
     def __init__(self, udp_socket: UDPSocket) -> None:
         self.send_lock = anyio.Lock()
@@ -27,11 +28,12 @@
 
     async def send(self, data: bytes, address: str) -> None:
         """Send one datagram."""
-        async with self.send_lock:  # the socket allows one sender at a time
+        # The socket allows one sender at a time.
+        async with self.send_lock:
             await self.socket.sendto(data, *parse_address(address))
 
     async def receive(self) -> tuple[bytes, str]:
-        """Return the next datagram and the address it came from."""
+        """Return the next datagram and the address of its sender."""
         data, (host, port) = await self.socket.receive()
         return data, f"{host}:{port}"
 
@@ -41,7 +43,10 @@
 
 
 class TcpTransport(asyncio.Protocol):
-    """One connection by asyncio's own callbacks: a task and its locks each would cost more than a request."""
+    """A TCP connection on asyncio's callbacks.
+
+    A task with its locks for each connection would cost more than a request.
+    """
 
     transport: asyncio.Transport
 
@@ -60,8 +65,9 @@
         self.unsent_bytes_at_close = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        """Create the protocol for an accepted connection; abort the connection if there is none."""
+        # uvloop's transport is not a subclass of asyncio.Transport.
+        self.transport = cast(asyncio.Transport, transport)
         if self.make_protocol is not None:
             with self.handler_errors.contained("connection made"):
                 self.protocol = self.make_protocol(self)
@@ -69,7 +75,7 @@
                 self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Pass received data to the protocol; abort the connection if the protocol raises."""
         if self.protocol is not None and not self.closed:
             try:
                 self.protocol.data_received(data)
@@ -78,12 +84,15 @@
                 self.transport.abort()
 
     def eof_received(self) -> bool:
-        """The other side sends no more; returns whether our side stays open, which is of no use here."""
+        """Note the end of the peer's data; return False, so that asyncio closes this side as well."""
         self.received_eof = True
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection ended; a reset is no clean end, else truncated data would pass for complete."""
+        """Tell the protocol that the connection has ended.
+
+        A reset does not count as a clean end, since truncated data would then be taken for complete.
+        """
         self.unsent_bytes_at_close = self.transport.get_write_buffer_size()
         self.closed = True
         protocol, self.protocol = self.protocol, None
@@ -93,65 +102,66 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes written that the kernel has not accepted yet; after the end, those it never accepted."""
+        """Written bytes that the kernel has not accepted yet; after the end, those it never accepted."""
         return self.unsent_bytes_at_close if self.closed else self.transport.get_write_buffer_size()
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is open and neither bytes nor an end wait unread."""
+        """Whether the transport is open and neither data nor an end of stream is pending unread."""
         if self.closed or self.received_eof or self.transport.is_closing():
             return False
         return not is_readable(self.transport.get_extra_info("socket").fileno())
 
     @property
     def peer_has_ended(self) -> bool:
-        """Whether the other side has ended or reset it, read here or not."""
+        """Whether the peer has closed or reset the connection, even if that was not read yet."""
         if self.closed or self.received_eof:
             return True
         return has_ended(self.transport.get_extra_info("socket").fileno())
 
     def seconds_since_data(self) -> float | None:
-        """Return for how long the newest bytes have been there; None where nobody knows."""
+        """Return the seconds since the connection last received data; None if that is unknown."""
         if self.closed or self.transport.is_closing():
             return None
         return seconds_since_data(self.transport.get_extra_info("socket").fileno())
 
     def write(self, data: bytes) -> None:
-        """Write without waiting."""
+        """Queue data to send, without waiting."""
         if not self.closed:
             self.transport.write(data)
 
     def pause_reading(self) -> None:
-        """Report no bytes until `resume_reading`; the end may still be reported."""
+        """Pass no data to the protocol until `resume_reading`; the end may still be reported."""
         if not self.closed and not self.transport.is_closing():
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Report bytes again."""
+        """Pass data to the protocol again."""
         if not self.closed and not self.transport.is_closing():
             self.transport.resume_reading()
 
     def write_eof(self) -> None:
-        """End our side once what was written has left."""
+        """Close the sending direction once the queued data is sent."""
         if not self.closed and not self.transport.is_closing():
-            self.resume_reading()  # else its end would not be reported either
+            # While reading is paused, the end of the connection would not be reported either.
+            self.resume_reading()
             self.transport.write_eof()
 
     def close(self) -> None:
-        """End once what was written has left."""
+        """Close the connection once the queued data is sent."""
         self.transport.close()
 
     def abort(self) -> None:
-        """End at once, with a reset."""
+        """Reset the connection immediately."""
         self.transport.abort()
 
 
 class TcpNet:
-    """TCP and UDP.
+    """The network of the machine, over TCP and UDP.
 
     Attributes:
-        local_host: the address that connections come from, where the machine has several.
-        handler_errors: what handlers of streams raised; each ended its own stream.
+        local_host: The source address of outgoing connections; None lets the system choose.
+        handler_errors: Contains the errors of handlers and protocols; each ends its own connection.
     """
 
     def __init__(self, local_host: str | None = None, handler_errors: HandlerErrors | None = None) -> None:
@@ -159,14 +169,14 @@
         self.handler_errors = handler_errors or HandlerErrors()
 
     async def connect(self, address: str) -> Stream:
-        """Open a stream. Raises OSError."""
+        """Open a stream to `address`. Raises OSError."""
         host, port = parse_address(address)
         return await anyio.connect_tcp(host, port, local_host=self.local_host)
 
     async def serve(
         self, address: str, handler: Callable[[Stream], Awaitable[Any]], started: anyio.Event | None = None
     ) -> None:
-        """Accept until cancelled, with a task that runs `handler` for each stream. Raises OSError."""
+        """Accept streams until cancelled and run `handler` for each in a task. Raises OSError."""
         host, port = parse_address(address)
         listener = await anyio.create_tcp_listener(
             local_host=host, local_port=port, backlog=LISTEN_BACKLOG, reuse_port=False
@@ -177,7 +187,7 @@
             await listener.serve(partial(self._run_handler, handler))
 
     async def _run_handler(self, handler: Callable[[Stream], Awaitable[Any]], stream: Stream) -> None:
-        """Run the handler; one that fails ends its stream."""
+        """Run the handler; if it raises, close its stream immediately."""
         with self.handler_errors.contained("stream"):
             try:
                 await handler(stream)
@@ -187,7 +197,7 @@
                 raise
 
     async def connect_transport(self, address: str, protocol: TransportProtocol) -> Transport:
-        """Connect; `protocol` may be called before this returns. Raises OSError."""
+        """Open a transport; `protocol` may be called before this returns. Raises OSError."""
         host, port = parse_address(address)
         local = (self.local_host, 0) if self.local_host else None
         loop = asyncio.get_running_loop()
@@ -202,7 +212,10 @@
         make_protocol: Callable[[Transport], TransportProtocol | None],
         started: anyio.Event | None = None,
     ) -> None:
-        """Accept until cancelled; where `make_protocol` returns none, end the connection. Raises OSError."""
+        """Accept transports until cancelled. Raises OSError.
+
+        A connection for which `make_protocol` returns None is aborted.
+        """
         host, port = parse_address(address)
 
         def make_transport() -> TcpTransport:
--- a/gullmount/net/types.py
+++ b/gullmount/net/types.py
@@ -1,4 +1,4 @@
-"""What the program asks of a network; whoever starts an instance hands one in."""
+"""The network interfaces that the program uses; the code that starts an instance passes one in."""
 
 from __future__ import annotations
 
@@ -16,107 +16,118 @@
 Stream = ByteStream
 
 MAX_PORT_DIGITS = 5
-MAX_PORT = 65535  # beyond it a socket raises something else than OSError
+# For a larger port a socket raises an error other than OSError.
+MAX_PORT = 65535
 
-# What a stream raises once its other side has gone, was reset, or was closed here by another task.
+# Errors that a stream raises once the peer has closed or reset it, or another task has closed it here.
 STREAM_ERRORS = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
 
 
 class AddressError(GullmountError, ValueError):
-    """A text is no address of the form `host:port`."""
+    """The text is not an address of the form `host:port`."""
 
     def __init__(self, text: str) -> None:
         super().__init__(f"not an address of the form host:port: {text!r}")
 
 
 class DatagramSocket(Protocol):
-    """Short messages that may be lost; an address is text such as `127.0.0.1:7100`."""
+    """A socket for datagrams, which may be lost. An address is a text such as `127.0.0.1:7100`."""
 
     async def send(self, data: bytes, address: str) -> None:
         """Send one datagram."""
 
     async def receive(self) -> tuple[bytes, str]:
-        """Return the next datagram and the address it came from."""
+        """Return the next datagram and the address of its sender."""
 
     async def aclose(self) -> None:
         """Close the socket."""
 
 
 class TransportProtocol(Protocol):
-    """Is called with what comes on a transport. Neither call may raise."""
+    """Receives the data and the end of a transport. Its methods must not raise."""
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Handle received data."""
 
     def connection_ended(self, clean: bool) -> None:
-        """Nothing more comes; called once at most.
+        """Handle the end of the connection; called at most once.
 
-        `clean` where the other side said so (FIN), not where the connection broke (RST) or was ended from
-        here.
+        Args:
+            clean: True if the peer ended the connection (FIN), False if the connection broke (RST) or was
+                closed on this side.
         """
 
 
 class Transport(Protocol):
-    """A byte stream by callbacks, without a task of its own where the network has none."""
+    """A callback-based byte stream, which has its own task only if the network needs one."""
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes written that the network has not accepted yet; after the end, those it never accepted."""
+        """Written bytes that the network has not accepted yet; after the end, those it never accepted."""
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is open and neither bytes nor an end wait unread. Asks the network."""
+        """Whether the transport is open and neither data nor an end of stream is pending unread.
+
+        Reading this property queries the network.
+        """
 
     @property
     def peer_has_ended(self) -> bool:
-        """Whether the other side has ended or reset it, read here or not. Asks the network."""
+        """Whether the peer has closed or reset the connection, even if that was not read yet.
+
+        Reading this property queries the network.
+        """
 
     def seconds_since_data(self) -> float | None:
-        """Return for how long the newest bytes have been there; None where nobody knows. Asks the network."""
+        """Query the network for the seconds since data last arrived; return None if that is unknown."""
 
     def write(self, data: bytes) -> None:
-        """Write without waiting."""
+        """Queue data to send, without waiting."""
 
     def pause_reading(self) -> None:
-        """Report no bytes until `resume_reading`; the end may still be reported."""
+        """Pass no data to the protocol until `resume_reading`; the end may still be reported."""
 
     def resume_reading(self) -> None:
-        """Report bytes again."""
+        """Pass data to the protocol again."""
 
     def write_eof(self) -> None:
-        """End our side once what was written has left (FIN); bytes are still reported until `close`."""
+        """Close the sending direction (FIN) once the queued data is sent.
+
+        Received data is still passed to the protocol until `close`.
+        """
 
     def close(self) -> None:
-        """End once what was written has left.
+        """Close the connection once the queued data is sent.
 
-        Bytes that came and were not read make it a reset, which may overtake what was written: see
-        `write_eof`.
+        If received data is still unread, the close becomes a reset, and the peer may see the reset before it
+        has read the sent data. `write_eof` avoids this.
         """
 
     def abort(self) -> None:
-        """End at once, with a reset."""
+        """Reset the connection immediately."""
 
 
 class StreamNet(Protocol):
-    """Connects and listens by address. All methods may raise OSError, as sockets do."""
+    """A network of streams and datagrams. All methods may raise OSError, as sockets do."""
 
     async def connect(self, address: str) -> Stream:
-        """Open a stream."""
+        """Open a stream to `address`."""
 
     async def serve(
         self, address: str, handler: Callable[[Stream], Awaitable[Any]], started: anyio.Event | None = None
     ) -> None:
-        """Accept until cancelled, with a task that runs `handler` for each stream."""
+        """Accept streams until cancelled and run `handler` for each in a task."""
 
     async def datagrams(self, address: str) -> DatagramSocket:
-        """Open a socket for datagrams."""
+        """Open a datagram socket at `address`."""
 
 
 class Net(StreamNet, Protocol):
-    """Streams, and transports by callbacks."""
+    """A network that has callback-based transports as well as streams and datagrams."""
 
     async def connect_transport(self, address: str, protocol: TransportProtocol) -> Transport:
-        """Connect; `protocol` may be called before this returns."""
+        """Open a transport; `protocol` may be called before this returns."""
 
     async def serve_transports(
         self,
@@ -124,11 +135,11 @@
         make_protocol: Callable[[Transport], TransportProtocol | None],
         started: anyio.Event | None = None,
     ) -> None:
-        """Accept until cancelled; a connection for which `make_protocol` returns none is ended."""
+        """Accept transports until cancelled; abort those for which `make_protocol` returns None."""
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """Return host and port of `host:port`. Raises AddressError where it is neither."""
+    """Split `host:port` into host and port. Raises AddressError for any other text."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal() or len(port) > MAX_PORT_DIGITS or int(port) > MAX_PORT:
         raise AddressError(address)
@@ -136,7 +147,7 @@
 
 
 def source_host(stream: Stream) -> str:
-    """Return the host that the other side connected from; empty where that is not known any more."""
+    """Return the host that the peer connected from, or an empty text if it is no longer known."""
     source = getattr(stream, "source", None)
     if source is not None:
         return str(source)
@@ -147,7 +158,7 @@
 
 
 def stream_seconds_since_data(stream: Stream) -> float | None:
-    """Return for how long the stream's newest bytes have been there; None where nobody knows."""
+    """Return the seconds since the stream last received data; None if that is unknown."""
     try:
         return seconds_since_data(stream.extra(SocketAttribute.raw_socket).fileno())
     except anyio.TypedAttributeLookupError:
@@ -155,7 +166,7 @@
 
 
 def stream_peer_has_ended(stream: Stream) -> bool:
-    """Return whether the other side has ended or reset the stream, as far as the network tells."""
+    """Return whether the peer has closed or reset the stream; False if the network can't tell."""
     try:
         return has_ended(stream.extra(SocketAttribute.raw_socket).fileno())
     except anyio.TypedAttributeLookupError:
@@ -163,7 +174,7 @@
 
 
 async def abort(stream: Stream) -> None:
-    """Close at once with a reset, where the network has one, as a crashed machine would."""
+    """Close the stream immediately, with a reset if the network supports it, as a crashed machine does."""
     reset = getattr(stream, "abort", None)
     if reset is not None:
         reset()
