--- a/gullmount/rpc/__init__.py
+++ b/gullmount/rpc/__init__.py
@@ -1,6 +1,6 @@
-"""Calls between the program's processes: HTTP/1.1 with JSON bodies, and streams of JSON lines.
+"""Calls between the program's processes, as HTTP/1.1 requests with JSON bodies or as streams of JSON lines.
 
-The messages are described in docs/protocols.md; nothing here knows proxies, servers or builds.
+docs/protocols.md describes the messages. Nothing in this package depends on proxies, servers or builds.
 """
 
 from gullmount.rpc.client import CallResponse, ConnectionPool, call
--- a/gullmount/rpc/client.py
+++ b/gullmount/rpc/client.py
@@ -1,4 +1,4 @@
-"""Calls with one small answer, over a connection each or over kept connections."""
+"""Makes calls with one small response, each on a new connection or over a connection pool."""
 
 from __future__ import annotations
 
@@ -11,19 +11,21 @@
 from gullmount.rpc.connection import ClientConnection, ResponseHead, connect
 from gullmount.rpc.errors import CallError, ResponseTooLongError
 
-MAX_RESPONSE_BYTES = 65536  # of one call
-MAX_IDLE_CONNECTIONS = 8  # to one address, kept for the next call
+# Body of the response to one call.
+MAX_RESPONSE_BYTES = 65536
+# Idle connections that a pool keeps for each address.
+MAX_IDLE_CONNECTIONS = 8
 
 
 class CallResponse(NamedTuple):
-    """A complete answer: its HTTP status and body."""
+    """A complete response: its HTTP status and body."""
 
     status: int
     body: bytes
 
 
 async def call(net: StreamNet, address: str, method: str, target: str, body: bytes = b"") -> CallResponse:
-    """Make one call on a connection of its own; raise CallError where it gets no answer."""
+    """Make one call on a new connection. Raises CallError if it gets no complete response."""
     connection = await connect(net, address, keep_alive=False)
     try:
         return await read_response(connection.request(method, target, body))
@@ -32,7 +34,7 @@
 
 
 async def read_response(parts: AsyncIterator[ResponseHead | bytes]) -> CallResponse:
-    """Collect an answer; raise CallError where it breaks off or is too long."""
+    """Collect the parts of a response. Raises CallError if it is incomplete or too long."""
     status = 0
     body = b""
     async for part in parts:
@@ -46,10 +48,14 @@
 
 
 class ConnectionPool:
-    """Calls to a few addresses over connections that stay open.
+    """Makes calls to a few addresses over connections that stay open.
 
-    A call whose kept connection turns out closed is made again on a new one, so only calls that may come
-    twice may go through a pool.
+    A call that fails on an idle connection is repeated on another one. Only calls that the server may safely
+    receive twice may therefore use a pool.
+
+    Attributes:
+        net: The network to connect on.
+        idle: The idle connections by address.
     """
 
     def __init__(self, net: StreamNet) -> None:
@@ -57,14 +63,15 @@
         self.idle: dict[str, list[ClientConnection]] = {}
 
     async def call(self, address: str, method: str, target: str, body: bytes = b"") -> CallResponse:
-        """Make one call; raise CallError where it gets no answer."""
+        """Make one call. Raises CallError if it gets no complete response."""
         idle = self.idle.setdefault(address, [])
         while idle:
             connection = idle.pop()
             try:
                 return await self._call_on(connection, method, target, body)
             except CallError:
-                continue  # it was closed while it was idle
+                # The server closed the connection while it was idle.
+                continue
         connection = await connect(self.net, address, keep_alive=True)
         return await self._call_on(connection, method, target, body)
 
--- a/gullmount/rpc/connection.py
+++ b/gullmount/rpc/connection.py
@@ -1,4 +1,4 @@
-"""The client side of one HTTP/1.1 connection, on h11: calls one after the other."""
+"""The client side of an HTTP/1.1 connection, based on h11, for one call after another."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 from gullmount.net import STREAM_ERRORS, Stream, StreamNet
 from gullmount.rpc.errors import ConnectError, ConnectionClosedError, ConnectionLostError, HttpProtocolError
 
-MAX_RETRY_AFTER_DIGITS = 7  # of milliseconds: some hours; more is taken for a mistake
+# Digits of a number of milliseconds, which allow almost three hours. A longer value is taken for a mistake.
+MAX_RETRY_AFTER_DIGITS = 7
 
 
 @dataclass(frozen=True)
 class ResponseHead:
-    """The beginning of an answer.
+    """The head of a response.
 
     Attributes:
-        status: the HTTP status.
-        retry_after_seconds: what `retry-after-ms` says, in seconds; None where it says nothing usable.
+        status: The HTTP status.
+        retry_after_seconds: The value of the `retry-after-ms` header in seconds; None if absent or invalid.
     """
 
     status: int
@@ -28,7 +29,7 @@
 
 
 class ClientConnection:
-    """A connection to `address`; with `keep_alive` it may serve further calls."""
+    """A connection to `address`, which stays open for further calls if `keep_alive` is true."""
 
     def __init__(self, stream: Stream, address: str, keep_alive: bool) -> None:
         self.stream = stream
@@ -39,7 +40,10 @@
     async def request(
         self, method: str, target: str, body: bytes
     ) -> AsyncGenerator[ResponseHead | bytes, None]:
-        """Yield the head of the answer, then its body as it comes; raise CallError whatever goes wrong."""
+        """Send a request; yield the response head, then the body in parts as they arrive.
+
+        Raises CallError for any failure of the connection or the protocol.
+        """
         try:
             await self.stream.send(self._encode(method, target, body))
             while True:
@@ -75,19 +79,19 @@
             self.http.receive_data(b"")
 
     def start_next_call(self) -> bool:
-        """Make the connection ready for another call; return whether one may follow."""
+        """Prepare the connection for another call; return False if it can't take one."""
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
             return False
         self.http.start_next_cycle()
         return True
 
     async def aclose(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         await anyio.aclose_forcefully(self.stream)
 
 
 def retry_after_seconds(response: h11.Response) -> float | None:
-    """Return what `retry-after-ms` says, in seconds; None where it says nothing usable."""
+    """Return the value of the `retry-after-ms` header in seconds; None if it is absent or invalid."""
     for name, value in response.headers:
         if name == b"retry-after-ms" and len(value) <= MAX_RETRY_AFTER_DIGITS and value.isdigit():
             return int(value) / 1000
@@ -95,7 +99,7 @@
 
 
 async def connect(net: StreamNet, address: str, *, keep_alive: bool) -> ClientConnection:
-    """Open a connection; raise ConnectError where none comes up."""
+    """Open a connection to `address`. Raises ConnectError if that fails."""
     try:
         return ClientConnection(await net.connect(address), address, keep_alive)
     except OSError as error:
--- a/gullmount/rpc/errors.py
+++ b/gullmount/rpc/errors.py
@@ -1,8 +1,8 @@
 """The errors of the package, in two families.
 
-`InvalidMessageError`: a message came whole, and its content is at fault, so its sender is. `CallError`: a
-call got no usable answer; each subclass says at which step it ended, as a caller may only repeat a change
-that was never sent.
+`InvalidMessageError` means that a message arrived complete but its content is invalid, so its sender is at
+fault. `CallError` means that a call got no usable response. Each of its subclasses names the step at which
+the call failed, since a caller may only repeat a change that was never sent.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 class RpcError(GullmountError):
-    """Base of the errors of calls between the program's processes."""
+    """Base of the errors in calls between the program's processes."""
 
 
 class InvalidMessageError(RpcError):
-    """The sender's message does not follow docs/protocols.md.
+    """A received message does not follow docs/protocols.md.
 
     Attributes:
-        detail: which field is wrong, and how.
+        detail: What is wrong with the message.
     """
 
     def __init__(self, detail: str) -> None:
@@ -29,31 +29,31 @@
 
 
 class NotJsonError(InvalidMessageError):
-    """The sender's message is not JSON, or nested too deep."""
+    """A received message is not JSON, or is nested too deeply."""
 
     def __init__(self) -> None:
         super().__init__("not JSON")
 
 
 class NotAnObjectError(InvalidMessageError):
-    """The sender's message is JSON, but no object."""
+    """A received message is JSON, but not an object."""
 
     def __init__(self) -> None:
         super().__init__("no object")
 
 
 class MessageVersionError(InvalidMessageError):
-    """The sender's message is of a version that this program does not speak."""
+    """A received message has a version that this program does not support."""
 
     def __init__(self, version: int) -> None:
         super().__init__(f"version {version}")
 
 
 class InvalidFieldError(InvalidMessageError):
-    """One field of the sender's message is at fault.
+    """A field of a received message is missing or invalid.
 
     Attributes:
-        field: the name of the field on the wire.
+        field: The name of the field on the wire.
     """
 
     def __init__(self, field: str, problem: str) -> None:
@@ -62,7 +62,7 @@
 
 
 class TargetProblem(StrEnum):
-    """What is wrong with the target of a request."""
+    """What is wrong with a request target."""
 
     NOT_A_URL = "is no URL"
     NO_PATH = "has neither a path nor a host"
@@ -70,18 +70,18 @@
 
 
 class InvalidTargetError(InvalidMessageError):
-    """The target of the sender's request is no path with a query."""
+    """A request target is not a path with an optional query."""
 
     def __init__(self, problem: TargetProblem) -> None:
         super().__init__(f"the target {problem}")
 
 
 class CallError(RpcError):
-    """A call got no usable answer.
+    """A call got no usable response.
 
     Attributes:
-        status: the HTTP status of the answer, 0 where there was none.
-        retry_after_seconds: when the other side asked to be called again, None where it did not say.
+        status: The HTTP status of the response, 0 if there was none.
+        retry_after_seconds: The delay after which the server accepts another call, None if it gave none.
     """
 
     status: int = 0
@@ -89,35 +89,35 @@
 
 
 class ConnectError(CallError):
-    """No connection came up, so nothing was sent."""
+    """The connection could not be established, so nothing was sent."""
 
     def __init__(self, cause: OSError) -> None:
         super().__init__(f"no connection: {cause}")
 
 
 class ConnectionLostError(CallError):
-    """The connection broke before the answer was complete."""
+    """The connection broke before the response was complete."""
 
     def __init__(self, cause: BaseException) -> None:
         super().__init__(f"connection lost: {type(cause).__name__}")
 
 
 class ConnectionClosedError(CallError):
-    """The server closed the connection before the answer was complete."""
+    """The server closed the connection before the response was complete."""
 
     def __init__(self) -> None:
-        super().__init__("the server closed the connection before the answer was complete")
+        super().__init__("the server closed the connection before the response was complete")
 
 
 class HttpProtocolError(CallError):
-    """The server's bytes are not HTTP/1.1."""
+    """The server's response violates HTTP/1.1."""
 
     def __init__(self, cause: Exception) -> None:
-        super().__init__(f"the server broke HTTP: {cause}")
+        super().__init__(f"the server violated HTTP/1.1: {cause}")
 
 
 class StatusError(CallError):
-    """The server answered with a status other than 200."""
+    """The server responded with a status other than 200."""
 
     def __init__(self, status: int, retry_after_seconds: float | None = None) -> None:
         super().__init__(f"status {status}")
@@ -126,28 +126,28 @@
 
 
 class ResponseTooLongError(CallError):
-    """The server's answer is longer than a call takes."""
+    """The response is longer than a call accepts."""
 
     def __init__(self, max_bytes: int) -> None:
-        super().__init__(f"the server's answer is longer than {max_bytes} bytes")
+        super().__init__(f"the server's response is longer than {max_bytes} bytes")
 
 
 class LineTooLongError(CallError):
-    """The server sent a line longer than the stream takes."""
+    """The server sent a line longer than the client accepts."""
 
     def __init__(self, max_bytes: int) -> None:
         super().__init__(f"the server sent a line longer than {max_bytes} bytes")
 
 
 class StreamEndedError(CallError):
-    """The server ended a stream that has no end of its own."""
+    """The server ended a stream that is meant to stay open."""
 
     def __init__(self) -> None:
         super().__init__("the server ended the stream")
 
 
 class SilentPeerError(CallError):
-    """The server sent nothing for too long."""
+    """The server sent no data within the time limit."""
 
     def __init__(self) -> None:
         super().__init__("the server was silent for too long")
--- a/gullmount/rpc/line_stream.py
+++ b/gullmount/rpc/line_stream.py
@@ -1,4 +1,4 @@
-"""Streams of lines that never end by themselves, as watches are."""
+"""Reads streams of lines that stay open indefinitely, such as watches."""
 
 from __future__ import annotations
 
@@ -12,19 +12,21 @@
 from gullmount.rpc.connection import ClientConnection, ResponseHead, connect
 from gullmount.rpc.errors import LineTooLongError, SilentPeerError, StatusError, StreamEndedError
 
-MAX_LINE_BYTES = 4 << 20  # an endpoint list of some ten thousand servers
-MAX_SILENCE_SECONDS = 15.0  # senders write something every 5 s
+# Enough for an endpoint list of some ten thousand servers.
+MAX_LINE_BYTES = 4 << 20
+# Senders write something every 5 s.
+MAX_SILENCE_SECONDS = 15.0
 STATUS_OK = 200
 
 
 @dataclass
 class LineBuffer:
-    """The bytes of a line that is not complete yet.
+    """Splits received data into lines and keeps the incomplete last line.
 
     Attributes:
-        max_line_bytes: longest line that is taken.
-        rest: what came since the last line end.
-        begun_at: when the incomplete line began, in seconds; infinite where there is none.
+        max_line_bytes: The length of the longest accepted line.
+        incomplete_line: The data received since the last line end.
+        line_started_at: The time in seconds at which the incomplete line began; infinite if there is none.
     """
 
     max_line_bytes: int
@@ -32,7 +34,7 @@
     line_started_at: float = field(default=inf)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the lines that `data` completes, empty ones left out; raise LineTooLongError."""
+        """Return the non-empty lines that `data` completes. Raises LineTooLongError."""
         *lines, self.incomplete_line = (self.incomplete_line + data).split(b"\n")
         if max(map(len, [*lines, self.incomplete_line])) > self.max_line_bytes:
             raise LineTooLongError(self.max_line_bytes)
@@ -52,17 +54,17 @@
     line_timeout_seconds: float = inf,
     response_timeout_seconds: float = inf,
 ) -> AsyncGenerator[bytes, None]:
-    """Yield the complete lines of a stream; end by raising CallError only.
+    """Yield the complete lines of a stream until it fails with a CallError. It never ends otherwise.
 
     Args:
-        net: where to connect.
-        address: `host:port` of the server.
-        target: path and query.
-        body: makes the request a POST; without it it is a GET.
-        max_silence_seconds: without a byte, after which the stream is given up.
-        max_line_bytes: longest line that is taken.
-        line_timeout_seconds: from the first byte of a line to its end.
-        response_timeout_seconds: from the call to the answer's status.
+        net: The network to connect on.
+        address: The server's address, `host:port`.
+        target: The path and query of the request.
+        body: The body of a POST request; None sends a GET request.
+        max_silence_seconds: The time without received data after which the stream fails.
+        max_line_bytes: The length of the longest accepted line.
+        line_timeout_seconds: The time limit from the first byte of a line to its end.
+        response_timeout_seconds: The time limit from the call to the response's status.
     """
     response_deadline = anyio.current_time() + min(max_silence_seconds, response_timeout_seconds)
     connection = await _connect_before(net, address, response_deadline)
--- a/gullmount/rpc/messages.py
+++ b/gullmount/rpc/messages.py
@@ -1,4 +1,4 @@
-"""Turns bytes into checked messages. No I/O, no clock."""
+"""Decodes and validates messages. It does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
     NotJsonError,
 )
 
-MESSAGE_VERSION = 1  # of all messages; a message of another version is invalid
+# The version of all messages. A message of any other version is invalid.
+MESSAGE_VERSION = 1
 
 Decoded = TypeVar("Decoded")
 Fields = dict[str, type | tuple[type, ...]]
 
 
 def check_fields(message: Any, fields: Fields) -> dict[str, Any]:
-    """Return `message` once it is an object with these fields; raise InvalidMessageError otherwise."""
+    """Return `message` if it is an object with these fields. Raises InvalidMessageError otherwise."""
     if not isinstance(message, dict):
         raise NotAnObjectError
     for name, expected_type in fields.items():
@@ -32,7 +33,7 @@
 
 
 def convert(value: Any, expected_type: type[Decoded]) -> Decoded:
-    """Return decoded JSON as an object of `kind`; raise InvalidMessageError where it does not fit."""
+    """Convert decoded JSON to `expected_type`. Raises InvalidMessageError if it does not match."""
     try:
         return msgspec.convert(value, type=expected_type)
     except msgspec.ValidationError as error:
@@ -40,7 +41,7 @@
 
 
 def look_up(table: dict[str, Any], message: dict[str, Any], name: str) -> Any:
-    """Return what `table` holds for a field's value; raise InvalidMessageError where it holds nothing."""
+    """Return the entry of `table` for the field's value. Raises InvalidMessageError if there is none."""
     value = message.get(name)
     if value not in table:
         raise InvalidFieldError(name, "has no such value")
@@ -48,7 +49,7 @@
 
 
 def decode_message(data: bytes) -> dict[str, Any]:
-    """Return the JSON object of a message of this version; raise InvalidMessageError otherwise."""
+    """Decode a message to a JSON object. Raises InvalidMessageError, also for another version."""
     try:
         message = check_fields(msgspec.json.decode(data), {"v": int})
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError):
@@ -59,5 +60,5 @@
 
 
 def decode_as(data: bytes, expected_type: type[Decoded]) -> Decoded:
-    """Return a message of this version as an object of `kind`; raise InvalidMessageError otherwise."""
+    """Decode a message to `expected_type`. Raises InvalidMessageError, also for another version."""
     return convert(decode_message(data), expected_type)
--- a/gullmount/rpc/server.py
+++ b/gullmount/rpc/server.py
@@ -1,6 +1,7 @@
-"""The server side of HTTP/1.1, on h11: a handler gets whole requests, gives answers or streams of lines.
+"""The server side of HTTP/1.1, based on h11.
 
-What a handler raises unexpectedly ends its own connection: see `serve`.
+A handler receives complete requests and returns a response or a stream of lines. An unexpected error of a
+handler ends only its own connection, see `serve`.
 """
 
 from __future__ import annotations
@@ -15,12 +16,13 @@
 from gullmount.net import STREAM_ERRORS, HandlerErrors, Stream, abort, ends_process
 from gullmount.rpc.target import RequestTarget, parse_target
 
-MAX_BODY_BYTES = 64 << 20  # of a request, where whoever serves does not say
+# Default limit for the body of a request.
+MAX_BODY_BYTES = 64 << 20
 INJECTED_SILENCE_SECONDS = 60
 HEAD, CONNECT = "HEAD", "CONNECT"
 BAD_REQUEST, INTERNAL_SERVER_ERROR, NOT_IMPLEMENTED = 400, 500, 501
 
-# What the stream itself raises once the other side has gone; any other OSError is the handler's own.
+# Errors that the stream raises once the peer has gone. Any other OSError comes from the handler itself.
 CONNECTION_ENDED_ERRORS = (
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
@@ -30,7 +32,7 @@
 
 
 class InjectedFailure(StrEnum):
-    """How an emulator fails instead of answering."""
+    """How an emulator fails instead of sending a response."""
 
     SILENCE = "silence"
     RESET = "reset"
@@ -40,12 +42,12 @@
     """A complete request.
 
     Attributes:
-        method: the HTTP method.
-        target: path and query, as they came.
-        headers: by lower-case name; the last one counts where a name comes twice.
-        body: the whole body.
-        work_started: set by a handler once its own work on it began.
-        cancel_scope: cancelled by a handler that watches for the client to go away.
+        method: The HTTP method.
+        target: The path and query as received.
+        headers: The header values by lower-case name. For a repeated name, only the last value is kept.
+        body: The complete body.
+        work_started: Whether the handler has begun its own work on the request. The handler sets it.
+        cancel_scope: A scope that the handler cancels when it sees that the client has disconnected.
     """
 
     def __init__(self, method: str, target: str, headers: dict[str, str], body: bytes) -> None:
@@ -57,19 +59,19 @@
         self.cancel_scope = anyio.CancelScope()
 
     def parse_target(self) -> RequestTarget:
-        """Return path and query; raise InvalidTargetError, which is an InvalidMessageError."""
+        """Return the path and query. Raises InvalidTargetError, a subclass of InvalidMessageError."""
         return parse_target(self.target)
 
 
 class Response:
-    """An answer.
+    """A response.
 
     Attributes:
-        status: the HTTP status.
-        body: the whole body, where there are no `lines`.
-        headers: beside those that frame the body.
-        lines: chunks of a body that ends when they do.
-        failure: what happens instead of an answer; only emulators set it.
+        status: The HTTP status.
+        body: The complete body, if there are no `lines`.
+        headers: The headers other than those that frame the body.
+        lines: The chunks of a streamed body, or None.
+        failure: The `InjectedFailure` to cause instead of sending the response. Only emulators set it.
     """
 
     def __init__(
@@ -91,7 +93,7 @@
 
 
 async def read_event(http: h11.Connection, stream: Stream) -> h11.Event | None:
-    """Return the next HTTP event; None where the connection is paused or at its end."""
+    """Return the next HTTP event, or None if the connection is paused or has ended."""
     while True:
         event = http.next_event()
         if isinstance(event, h11.Event):
@@ -111,11 +113,13 @@
     max_body_bytes: int = MAX_BODY_BYTES,
     errors: HandlerErrors | None = None,
 ) -> None:
-    """Answer the requests of one connection until it ends; a longer body ends it.
+    """Serve the requests of one connection until it ends.
 
-    What is no HTTP gets 400. An error that `handler` or its `lines` raise ends this connection alone, with
-    500 where no byte of the answer has left; `errors` counts and logs it. Cancellation passes, and so does
-    `ProcessFatalError`, such as a failed disk: the process must not answer any more.
+    A request that is not HTTP gets status 400. A body longer than `max_body_bytes` ends the connection.
+
+    An error that the handler or its `lines` raise ends this connection only. The client gets status 500 if no
+    byte of the response has been sent. `errors` counts and logs the error. Cancellation propagates, and so
+    does `ProcessFatalError`, for example after a disk failure, when the process must send no more responses.
     """
     http = h11.Connection(h11.SERVER)
     errors = errors or HandlerErrors()
@@ -130,7 +134,7 @@
 async def _serve_requests(
     http: h11.Connection, stream: Stream, handler: Handler, max_body_bytes: int
 ) -> None:
-    """Answer one request after the other until the connection ends."""
+    """Serve one request after another until the connection ends."""
     try:
         while await _serve_request(http, stream, handler, max_body_bytes):
             http.start_next_cycle()
@@ -142,7 +146,7 @@
 
 
 async def _serve_request(http: h11.Connection, stream: Stream, handler: Handler, max_body_bytes: int) -> bool:
-    """Answer one request; return whether another may follow."""
+    """Serve one request; return whether another may follow."""
     request = await _read_request(http, stream, max_body_bytes)
     if request is None:
         return False
@@ -152,7 +156,8 @@
     response = await _handle(http, stream, handler, request)
     try:
         return await _send_response(http, stream, request, response)
-    finally:  # at once, also where the client is gone: the source of the lines must not go on
+    finally:
+        # Even if the client has gone, close the source of the lines immediately, so that it does not go on.
         close = getattr(response.lines, "aclose", None)
         if close is not None:
             with anyio.CancelScope(shield=True):
@@ -160,7 +165,7 @@
 
 
 async def _handle(http: h11.Connection, stream: Stream, handler: Handler, request: Request) -> Response:
-    """Return the handler's answer; where it fails, send 500 and raise what it raised."""
+    """Return the handler's response. If the handler raises, send status 500 and re-raise its error."""
     try:
         return await handler(request, stream)
     except CONNECTION_ENDED_ERRORS:
@@ -173,12 +178,13 @@
 
 
 async def _reject(http: h11.Connection, stream: Stream, response: Response) -> None:
-    """Send an answer after which the connection ends, if none has begun."""
+    """Send a response that closes the connection, unless another response has begun."""
     if http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
         return
     headers = [("content-length", str(len(response.body))), ("connection", "close")]
     data = http.send(h11.Response(status_code=response.status, headers=headers)) or b""
-    with suppress(h11.LocalProtocolError):  # a HEAD gets no body
+    # A response to HEAD has no body.
+    with suppress(h11.LocalProtocolError):
         data += http.send(h11.Data(data=response.body)) or b""
     await stream.send(data)
 
@@ -199,7 +205,7 @@
 
 
 async def _send_response(http: h11.Connection, stream: Stream, request: Request, response: Response) -> bool:
-    """Return whether another request may follow."""
+    """Send the response, or cause its injected failure; return whether another request may follow."""
     if response.failure == InjectedFailure.RESET:
         await abort(stream)
         return False
--- a/gullmount/rpc/target.py
+++ b/gullmount/rpc/target.py
@@ -1,4 +1,4 @@
-"""Turns the target of a request into path and query. No I/O, no clock."""
+"""Parses a request target into path and query. It does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True)
 class RequestTarget:
-    """Where a request goes.
+    """The path and query of a request.
 
     Attributes:
-        path: without the query, as it came.
-        query: the first value of each field, decoded.
+        path: The path as received, without the query.
+        query: The first value of each query field, decoded.
     """
 
     path: str
@@ -24,7 +24,7 @@
 
 
 def parse_target(target: str) -> RequestTarget:
-    """Parse the origin form or the absolute form (RFC 9112, 3.2); raise InvalidTargetError."""
+    """Parse a target in origin form or absolute form (RFC 9112, 3.2). Raises InvalidTargetError."""
     if target.startswith("/"):
         path, _, query = target.partition("?")
     else:
