--- a/tests/net/test_handler_errors.py
+++ b/tests/net/test_handler_errors.py
@@ -1,4 +1,4 @@
-"""Errors that handlers raise: contained, counted, logged; or passed on where the process must end."""
+"""Handler errors are contained, counted and logged, or propagate if the process must exit."""
 
 from __future__ import annotations
 
--- a/tests/rpc/test_client.py
+++ b/tests/rpc/test_client.py
@@ -1,4 +1,4 @@
-"""Calls and streams of lines in memory: each failure has its type."""
+"""Calls and line streams over the in-memory network; each failure raises its own error type."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 def run_with_server(
     respond: Callable[[Request], Response], script: Callable[[MemoryNet], Awaitable[Any]]
 ) -> Any:
-    """Run a script beside a server in virtual time; return what it returns."""
+    """Run a script and a server in virtual time; return the script's result."""
 
     async def handle(request: Request, stream: Stream) -> Response:
         return respond(request)
@@ -52,6 +52,7 @@
 
 
 async def read_lines(net: MemoryNet, **limits: Any) -> list[bytes]:
+    """Read the server's line stream until it fails."""
     lines = []
     async for line in stream_lines(net, ADDRESS, "/watch", **limits):
         lines.append(line)
@@ -95,6 +96,7 @@
 
 
 async def send_parts(parts: list[bytes], stay_open: bool = False) -> AsyncIterator[bytes]:
+    """Yield the parts; then wait 1000 s if the stream is to stay open."""
     for part in parts:
         yield part
     if stay_open:
--- a/tests/rpc/test_messages.py
+++ b/tests/rpc/test_messages.py
@@ -1,4 +1,4 @@
-"""What is decoded, and whose fault it is where it isn't."""
+"""Decoding of messages, and the errors for invalid ones."""
 
 from __future__ import annotations
 
--- a/tests/rpc/test_server.py
+++ b/tests/rpc/test_server.py
@@ -1,4 +1,4 @@
-"""A server of requests, on sockets: what a peer sends, or a handler raises, ends one connection at most."""
+"""The RPC server on sockets: malformed requests and handler errors end one connection at most."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def exchange_all(*requests: bytes, handler: Handler = respond) -> tuple[list[bytes], list[dict[str, Any]]]:
-    """What each request got, the good one last, and what was logged."""
+    """Send each request, then a valid one, on connections of their own; return the responses and the log."""
     log_lines: list[dict[str, Any]] = []
 
     def log(event: str, **fields: Any) -> None:
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("path", [b"/fails", b"/disk"])
 def test_raising_handler_gets_500_and_the_next_connection_is_served(path: bytes) -> None:
-    """Guards against one request that ends the process that serves all."""
+    """Guards against a request whose handler error ends the server process."""
     (failed, valid), log_lines = exchange_all(b"GET %s HTTP/1.1\r\nhost: x\r\n\r\n" % path)
     assert failed.startswith(b"HTTP/1.1 500 ") and valid.startswith(b"HTTP/1.1 200 ")
     assert [line["event"] for line in log_lines] == ["handler_failed"]
@@ -86,7 +86,7 @@
 
 
 def test_error_in_streamed_lines_truncates_that_response_alone() -> None:
-    """Guards against a stream whose source fails: it is cut off, not ended as if it were complete."""
+    """Guards against a stream that is ended as complete although the source of its lines has failed."""
     (truncated, valid), log_lines = exchange_all(b"GET /lines HTTP/1.1\r\nhost: x\r\n\r\n")
     assert (
         truncated.startswith(b"HTTP/1.1 200 ")
@@ -114,7 +114,7 @@
 
 
 def test_process_fatal_error_of_a_handler_propagates() -> None:
-    """Guards against a replica that goes on answering once its disk has failed."""
+    """Guards against a replica that continues to send responses after its disk has failed."""
 
     async def fail(request: Request, stream: Stream) -> Response:
         raise ProcessFatalError
--- a/tests/settings/test_accepted_settings_run.py
+++ b/tests/settings/test_accepted_settings_run.py
@@ -1,4 +1,4 @@
-"""Settings that are accepted give a router that runs; others are refused with their place."""
+"""Checks that accepted settings give a router that runs, and that rejected ones name the invalid field."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def leaf_paths(node: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """The paths of all values that are no objects, lists included."""
+    """Return the paths of all values that are not objects, nor lists of objects."""
     if isinstance(node, dict):
         return [leaf_path for key, value in node.items() for leaf_path in leaf_paths(value, (*path, key))]
     if isinstance(node, list) and node and isinstance(node[0], dict):
@@ -44,6 +44,7 @@
 
 
 def apply_changes(document: Any, changes: dict[tuple[Any, ...], Any]) -> Any:
+    """Set the value at each path in place; return the document."""
     for path, value in changes.items():
         container = document
         for key in path[:-1]:
@@ -53,7 +54,7 @@
 
 
 def run_short_scenario(decoded: InstanceSettings) -> None:
-    """Servers of two builds, a release through its stages, requests, failures and peers' votes."""
+    """Run servers of two builds, a rollout through its stages, requests, failures and peers' votes."""
     harness = RouterHarness()
     router = harness.router = Router(harness, decoded)
     harness.list_servers({"a1": 1, "a2": 1, "b1": 2}, started_at=harness.now())
@@ -73,6 +74,7 @@
 
 
 def field_changes(paths: list[tuple[Any, ...]]) -> st.SearchStrategy[dict[tuple[Any, ...], Any]]:
+    """Draw one to four of the paths, each with an extreme value."""
     return st.dictionaries(st.sampled_from(paths), st.sampled_from(EXTREME_VALUES), min_size=1, max_size=4)
 
 
@@ -81,7 +83,7 @@
 def test_altered_platform_settings_are_rejected_with_a_path_or_run(
     changes: dict[tuple[Any, ...], Any],
 ) -> None:
-    """Guards against accepted settings that the router cannot be built with (StatisticsError)."""
+    """Guards against accepted settings with which building the router fails with StatisticsError."""
     document = apply_changes(json.loads(json.dumps(SETTINGS)), changes)
     try:
         decoded = decode_instance_settings(1, document)
--- a/tests/settings/test_peer_vote.py
+++ b/tests/settings/test_peer_vote.py
@@ -1,4 +1,4 @@
-"""The text of a peer's vote."""
+"""Encoding and decoding of a peer's vote."""
 
 from __future__ import annotations
 
--- a/tests/support/fault_block.py
+++ b/tests/support/fault_block.py
@@ -1,4 +1,7 @@
-"""Loopback addresses of one test process, so that test runs and days side by side do not meet."""
+"""Reserves loopback addresses for one test process.
+
+Test runs and scenario runs on the same machine therefore don't use the same addresses.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +11,17 @@
 
 from gullmount.scenarios.loopback import CLAIM_PORT
 
-CLAIM_SOCKETS: list[socket.socket] = []  # held until the process ends
+# These sockets stay open, and thus the blocks reserved, until the process ends.
+CLAIM_SOCKETS: list[socket.socket] = []
 
 
 @cache
 def reserve_loopback_block(first_number: int = 60, block_count: int = 150) -> str:
-    """`127.N` with N from `first` on. A socket bound among its addresses says that they are taken, as days
-    do: numbers of processes alone meet now and then."""
+    """Return a free block `127.N`, with N from `first_number` on, and reserve it for this process.
+
+    A socket bound to an address of the block marks it as taken, as scenario runs do, too. Process ids alone
+    are not enough, since two of them sometimes lead to the same block.
+    """
     for offset in range(block_count):
         block = f"127.{first_number + (os.getpid() + offset) % block_count}"
         claim_socket = socket.socket()
@@ -29,5 +36,5 @@
 
 
 def reserve_harness_block() -> str:
-    """Of those beyond what days draw."""
+    """Reserve one of the blocks beyond those that scenario runs use."""
     return reserve_loopback_block(225, 25)
--- a/tests/support/fuzzed_messages.py
+++ b/tests/support/fuzzed_messages.py
@@ -1,4 +1,4 @@
-"""Messages that a peer without any right might send, drawn from a seed: built by a grammar, then mutated."""
+"""Generates messages that an untrusted peer might send, from a seed: built by a grammar, then mutated."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def random_json_value(random: Random, depth: int = 0) -> object:
-    """A value that JSON can hold, or nearly."""
+    """Return a random value of JSON's types, including a few that strict JSON can't hold."""
     draw = random.random()
     if depth >= MAX_DEPTH or draw < 0.5:
         return random.choice(SCALARS)
@@ -46,7 +46,7 @@
 
 
 def random_json(random: Random) -> bytes:
-    """An object of a message, most often of the version that is spoken."""
+    """Return a random message as JSON, in most cases of the supported version, rarely malformed."""
     if random.random() < 0.05:
         return random.choice((b"[" * 5000, b'{"a":' * 5000, b"NaN", b"\xff{}", b"", b"{"))
     message = {random.choice(FIELDS): random_json_value(random) for _ in range(random.randrange(9))}
@@ -56,7 +56,7 @@
 
 
 def random_http_request(random: Random) -> bytes:
-    """A request, whose body may be framed wrongly."""
+    """Return a random HTTP request, whose body may be framed incorrectly."""
     target = random.choice(TARGETS)
     headers = random.sample(HEADERS, random.randrange(5))
     body = random_json(random) if random.random() < 0.6 else b""
@@ -67,7 +67,7 @@
 
 
 def mutate(random: Random, data: bytes) -> bytes:
-    """The bytes with some of them changed, cut out, repeated or added."""
+    """Return the data with random bytes flipped, deleted, repeated, inserted or truncated."""
     buffer = bytearray(data)
     for _ in range(random.randrange(1, MAX_MUTATIONS + 1)):
         if not buffer:
@@ -88,13 +88,13 @@
 
 
 def hostile_request(random: Random) -> bytes:
-    """A request, mutated half of the time."""
+    """Return a random HTTP request, mutated in half of the cases."""
     request = random_http_request(random)
     return mutate(random, request) if random.random() < 0.5 else request
 
 
 def hostile_datagram(random: Random) -> bytes:
-    """A peer's message, mutated half of the time, or any bytes."""
+    """Return a peer's datagram, mutated in half of the cases, or random bytes."""
     if random.random() < 0.2:
         return random.randbytes(random.randrange(300))
     votes = (b"vote 42 0 back", b"42 0 3", b"%d %d %d" % (random.getrandbits(70), 0, 3))
--- a/tests/support/fuzzed_programs.py
+++ b/tests/support/fuzzed_programs.py
@@ -1,4 +1,4 @@
-"""Sends hostile bytes to the program's processes, from whoever can reach them, and looks whether they live.
+"""Sends hostile bytes to the program's processes from every kind of peer and checks that they survive.
 
 python -m tests.support.fuzzed_programs --seeds 50 --messages 400
 """
@@ -33,24 +33,27 @@
 )
 from tests.support.proxy_edge import make_proxy_config
 
-RESPONSE_TIMEOUT_SECONDS = 3.0  # for a request that nothing is wrong with
-MUTATED_WRITE_FRACTION = (
-    0.5  # of what servers, discovery and the release controller write while messages are sent
-)
-HOSTILE_CLIENT_TIMEOUT_SECONDS = 0.03  # before a hostile client closes, or goes on
-MAX_GROWTH_MIB = 24.0  # of resident memory in one play, buffers of the allocator included
-MAX_DESCRIPTOR_GROWTH = 40  # than before: connections to the double of each party, and what is lingering
+# For the response to a valid request.
+RESPONSE_TIMEOUT_SECONDS = 3.0
+# Fraction of the writes of servers, discovery and release controller that are mutated during the attack.
+MUTATED_WRITE_FRACTION = 0.5
+# Time after which a hostile client closes its connection and sends the next message.
+HOSTILE_CLIENT_TIMEOUT_SECONDS = 0.03
+# Growth of a process's resident memory in one run, including the buffers of the allocator.
+MAX_GROWTH_MIB = 24.0
+# File descriptors that a process may add: connections to each test double, and lingering connections.
+MAX_DESCRIPTOR_GROWTH = 40
 
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 @dataclass
 class Program:
-    """One process that listens.
+    """One listening process.
 
     Attributes:
-        good_request: is answered with 200 at any time.
-        gossip: where it receives datagrams, and from whom.
+        probe_request: A valid request, to which a healthy process always responds with status 200.
+        gossip: The address at which the process receives datagrams, and its peer's address; None if unused.
     """
 
     name: str
@@ -90,7 +93,7 @@
         ]
 
     async def send_probe(self) -> bytes:
-        """The answer to the good request; b"" for none."""
+        """Return the response to the probe request; b"" if there is none."""
         return await exchange(self.address, self.probe_request, RESPONSE_TIMEOUT_SECONDS)
 
     async def wait_until_ready(self) -> None:
@@ -102,7 +105,7 @@
 
 
 async def exchange(address: str, data: bytes, timeout_seconds: float) -> bytes:
-    """Send bytes on a connection of their own; what came back until it was whole, or the time was up."""
+    """Send bytes on a new connection; return the response, or b"" if it is not complete in time."""
     host, port = address.split(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -122,7 +125,7 @@
 
 
 class MutatingWriter:
-    """A writer that spoils some of what is written, while `plays.hostile`."""
+    """A writer that mutates some of the written data while `fuzz_run.hostile` is set."""
 
     def __init__(self, inner: asyncio.StreamWriter, fuzz_run: FuzzRun) -> None:
         self.inner = inner
@@ -139,7 +142,11 @@
 
 
 class FuzzRun:
-    """All programs of one play, and the doubles around them."""
+    """All programs of one fuzzing run, and the test doubles around them.
+
+    Attributes:
+        hostile: Whether the mutating test doubles mutate what they write.
+    """
 
     def __init__(self, seed: int, folder: Path) -> None:
         self.random = Random(seed)
@@ -251,7 +258,7 @@
             await program.wait_until_ready()
 
     async def attack(self, program: Program, messages: int) -> None:
-        """Send hostile messages to one program, on connections of their own and as datagrams."""
+        """Send hostile messages to one program, each on a new connection or as a datagram."""
         random = Random(self.random.getrandbits(64))
         for _ in range(messages):
             if program.gossip is not None and random.random() < 0.3:
@@ -264,9 +271,13 @@
             assert program.exit_status is None, (program.name, data, program.log.read_text()[-3000:])
 
     async def run(self, messages: int) -> list[str]:
-        """Play; returns a line for each program. Raises AssertionError where one ended, or grew."""
+        """Run the attack; return a line for each program.
+
+        Raises AssertionError if a program exits, grows or logs a contained error.
+        """
         await self.start_all()
-        await asyncio.gather(*(self.attack(program, messages // 4) for program in self.programs))  # warm up
+        # Warm up the processes before their memory is measured.
+        await asyncio.gather(*(self.attack(program, messages // 4) for program in self.programs))
         before = {started.name: (started.resident_mib(), started.descriptors()) for started in self.programs}
         self.hostile = True
         await asyncio.gather(*(self.attack(program, messages) for program in self.programs))
@@ -302,7 +313,7 @@
 
 
 def lines_script(*messages: dict[str, Any]) -> Script:
-    """A watch: the head, then each message as a line; stays open."""
+    """Return a script of a watch: it sends the head, then all messages as lines every 0.5 s."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
@@ -316,7 +327,7 @@
 
 
 def send_datagram(target: str, source: str, data: bytes) -> None:
-    """Send as the peer whose address `source` is."""
+    """Send a datagram to `target` from the peer's address `source`."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
         host, port = source.split(":")
         udp_socket.bind((host, int(port)))
@@ -325,7 +336,7 @@
 
 
 def run_fuzz(seed: int, messages: int) -> list[str]:
-    """Play one seed; see `Play.run`."""
+    """Run one seed; see `FuzzRun.run`."""
 
     async def run_in_folder(folder: Path) -> list[str]:
         new_run = FuzzRun(seed, folder)
@@ -342,7 +353,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--first", type=int, default=1)
-    parser.add_argument("--messages", type=int, default=400, help="to each program, in each seed")
+    parser.add_argument("--messages", type=int, default=400, help="messages to each program for each seed")
     parsed_arguments = parser.parse_args()
     failed_count = 0
     for seed in range(parsed_arguments.first, parsed_arguments.first + parsed_arguments.seeds):
--- a/tests/support/paths.py
+++ b/tests/support/paths.py
@@ -1,4 +1,4 @@
-"""Where the repository's own files are, whatever the depth of the test that asks."""
+"""Paths of the repository's own folders, independent of the location of the importing test."""
 
 from pathlib import Path
 
--- a/tests/test_deploy_file.py
+++ b/tests/test_deploy_file.py
@@ -1,4 +1,4 @@
-"""The deploy file names all modules that decide."""
+"""The deploy file lists all modules of the decisions."""
 
 from __future__ import annotations
 
--- a/tests/test_fuzzed_programs.py
+++ b/tests/test_fuzzed_programs.py
@@ -1,13 +1,14 @@
-"""Every program that listens, as a process, under hostile bytes from whoever can reach it."""
+"""Sends hostile bytes to every listening program, each in a process of its own."""
 
 from __future__ import annotations
 
 from tests.support.fuzzed_programs import run_fuzz
 
 SEED = 3
-MESSAGES_PER_PROGRAM = 60  # to each program; thousands by `python -m tests.support.fuzzed_programs`
+# `python -m tests.support.fuzzed_programs` sends thousands.
+MESSAGES_PER_PROGRAM = 60
 
 
 def test_hostile_messages_neither_end_a_process_nor_grow_its_memory() -> None:
-    """Guards against `GET //[`, which ended replicas, the origin and relays, and against all of its kind."""
+    """Guards against messages such as `GET //[`, which ended the replicas, the origin and the relays."""
     assert len(run_fuzz(SEED, MESSAGES_PER_PROGRAM)) == 7
