--- a/gullmount/net/acceptor.py
+++ b/gullmount/net/acceptor.py
@@ -20,7 +20,7 @@
 # Delay before accepting again after a resource shortage.
 ACCEPT_RETRY_SECONDS = 0.02
 RESOURCE_SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-# Per turn of the event loop.
+# Connections accepted in one turn of the event loop; further ones wait for the next turn.
 MAX_ACCEPTS_PER_TURN = 256
 # Event loop turns that `Acceptor.stop` may take to empty the backlog.
 MAX_DRAIN_TURNS = 1024
--- a/gullmount/net/arrival.py
+++ b/gullmount/net/arrival.py
@@ -1,4 +1,4 @@
-"""Queries the kernel about unread TCP connections: when data last arrived and whether the peer ended."""
+"""Queries the kernel for when a TCP connection last received data and whether its peer has ended it."""
 
 from __future__ import annotations
 
--- a/gullmount/rpc/client.py
+++ b/gullmount/rpc/client.py
@@ -11,7 +11,7 @@
 from gullmount.rpc.connection import ClientConnection, ResponseHead, connect
 from gullmount.rpc.errors import CallError, ResponseTooLongError
 
-# Body of the response to one call.
+# Longest body of the response to one call.
 MAX_RESPONSE_BYTES = 65536
 # Idle connections that a pool keeps for each address.
 MAX_IDLE_CONNECTIONS = 8
--- a/gullmount/rpc/messages.py
+++ b/gullmount/rpc/messages.py
@@ -49,7 +49,7 @@
 
 
 def decode_message(data: bytes) -> dict[str, Any]:
-    """Decode a message to a JSON object. Raises InvalidMessageError, also for another version."""
+    """Decode a message to a JSON object. Raises InvalidMessageError if it or its version is invalid."""
     try:
         message = check_fields(msgspec.json.decode(data), {"v": int})
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError):
@@ -60,5 +60,5 @@
 
 
 def decode_as(data: bytes, expected_type: type[Decoded]) -> Decoded:
-    """Decode a message to `expected_type`. Raises InvalidMessageError, also for another version."""
+    """Decode a message to `expected_type`. Raises InvalidMessageError if it or its version is invalid."""
     return convert(decode_message(data), expected_type)
--- a/tests/support/fault_block.py
+++ b/tests/support/fault_block.py
@@ -36,5 +36,5 @@
 
 
 def reserve_harness_block() -> str:
-    """Reserve one of the blocks beyond those that scenario runs use."""
+    """Reserve a block above the range that scenario runs use."""
     return reserve_loopback_block(225, 25)
--- a/tests/support/fuzzed_programs.py
+++ b/tests/support/fuzzed_programs.py
@@ -33,7 +33,7 @@
 )
 from tests.support.proxy_edge import make_proxy_config
 
-# For the response to a valid request.
+# Longest wait for the response to a probe request.
 RESPONSE_TIMEOUT_SECONDS = 3.0
 # Fraction of the writes of servers, discovery and release controller that are mutated during the attack.
 MUTATED_WRITE_FRACTION = 0.5
