--- a/gullmount/net/memory.py
+++ b/gullmount/net/memory.py
@@ -146,7 +146,7 @@
     def __init__(self, stream: MemoryStream) -> None:
         self.stream = stream
         self.protocol: TransportProtocol | None = None
-        self.outgoing: deque[bytes] = deque()
+        self.unsent_chunks: deque[bytes] = deque()
         self.close_requested = False
         self.eof_requested = False
         self.reading_paused = False
@@ -157,7 +157,7 @@
         """Pass received data to the protocol until the stream ends."""
         clean = False
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.write_outgoing)
+            tasks.start_soon(self.send_unsent_chunks)
             try:
                 while True:
                     data = await self.stream.receive()
@@ -176,13 +176,13 @@
         if protocol is not None:
             protocol.connection_ended(clean)
 
-    async def write_outgoing(self) -> None:
+    async def send_unsent_chunks(self) -> None:
         """Send the written data until the transport is closed or the stream breaks."""
         try:
             while True:
-                while self.outgoing:
-                    await self.stream.send(self.outgoing[0])
-                    self.outgoing.popleft()
+                while self.unsent_chunks:
+                    await self.stream.send(self.unsent_chunks[0])
+                    self.unsent_chunks.popleft()
                 if self.close_requested:
                     await self.stream.aclose()
                     return
@@ -197,7 +197,7 @@
     @property
     def unsent_bytes(self) -> int:
         """Written bytes that the stream has not accepted yet."""
-        return sum(map(len, self.outgoing))
+        return sum(map(len, self.unsent_chunks))
 
     @property
     def is_idle(self) -> bool:
@@ -222,7 +222,7 @@
 
     def write(self, data: bytes) -> None:
         """Queue data to send, without waiting."""
-        self.outgoing.append(data)
+        self.unsent_chunks.append(data)
         self.write_requested.set()
 
     def pause_reading(self) -> None:
@@ -247,7 +247,7 @@
 
     def abort(self) -> None:
         """Discard the queued data and reset the connection."""
-        self.outgoing.clear()
+        self.unsent_chunks.clear()
         self.stream.abort()
         self.resume_reading()
 
--- a/gullmount/yamlfile.py
+++ b/gullmount/yamlfile.py
@@ -107,10 +107,10 @@
     """Read a file and decode it into `model`. Raises InvalidFileError if it is unreadable or invalid."""
     try:
         with path.open("rb") as file:
-            raw = file.read(MAX_FILE_BYTES + 1)
-        if len(raw) > MAX_FILE_BYTES:
+            content = file.read(MAX_FILE_BYTES + 1)
+        if len(content) > MAX_FILE_BYTES:
             raise InvalidFileError(f"{path}:1: larger than {MAX_FILE_BYTES} bytes")
-        text = raw.decode()
+        text = content.decode()
     except OSError as error:
         raise InvalidFileError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError as error:
