--- a/gullmount/net/__init__.py
+++ b/gullmount/net/__init__.py
@@ -1,4 +1,7 @@
-"""Byte streams, transports and datagrams by address, on sockets or in memory. Nothing here knows HTTP."""
+"""Byte streams, transports and datagram sockets by address, over real sockets or in memory.
+
+Nothing in this package depends on HTTP.
+"""
 
 from gullmount.net.handler_errors import HandlerErrors, ends_process
 from gullmount.net.memory import MemoryNet
@@ -6,10 +9,10 @@
 from gullmount.net.types import (
     STREAM_ERRORS,
     AddressError,
-    Datagrams,
+    DatagramSocket,
     Net,
     Stream,
-    Streams,
+    StreamNet,
     Transport,
     TransportProtocol,
     abort,
@@ -22,12 +25,12 @@
 __all__ = [
     "STREAM_ERRORS",
     "AddressError",
-    "Datagrams",
+    "DatagramSocket",
     "HandlerErrors",
     "MemoryNet",
     "Net",
     "Stream",
-    "Streams",
+    "StreamNet",
     "TcpNet",
     "Transport",
     "TransportProtocol",
--- a/gullmount/rpc/__init__.py
+++ b/gullmount/rpc/__init__.py
@@ -1,9 +1,9 @@
-"""Calls between the program's processes: HTTP/1.1 with JSON bodies, and streams of JSON lines.
+"""Calls between the program's processes, as HTTP/1.1 requests with JSON bodies or as streams of JSON lines.
 
-The messages are described in docs/protocols.md; nothing here knows proxies, servers or builds.
+docs/protocols.md describes the messages. Nothing in this package depends on proxies, servers or builds.
 """
 
-from gullmount.rpc.client import Answer, ConnectionPool, call
+from gullmount.rpc.client import CallResponse, ConnectionPool, call
 from gullmount.rpc.errors import (
     CallError,
     ConnectError,
@@ -26,8 +26,8 @@
 
 __all__ = [
     "MESSAGE_VERSION",
-    "Answer",
     "CallError",
+    "CallResponse",
     "ConnectError",
     "ConnectionPool",
     "Fields",
--- a/gullmount/rpc/messages.py
+++ b/gullmount/rpc/messages.py
@@ -1,4 +1,4 @@
-"""Turns bytes into checked messages. No I/O, no clock."""
+"""Decodes and validates messages. It does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -14,33 +14,34 @@
     NotJsonError,
 )
 
-MESSAGE_VERSION = 1  # of all messages; a message of another version is invalid
+# The version of all messages. A message of any other version is invalid.
+MESSAGE_VERSION = 1
 
-Kind = TypeVar("Kind")
+Decoded = TypeVar("Decoded")
 Fields = dict[str, type | tuple[type, ...]]
 
 
 def check_fields(message: Any, fields: Fields) -> dict[str, Any]:
-    """Return `message` once it is an object with these fields; raise InvalidMessageError otherwise."""
+    """Return `message` if it is an object with these fields. Raises InvalidMessageError otherwise."""
     if not isinstance(message, dict):
         raise NotAnObjectError
-    for name, kind in fields.items():
+    for name, expected_type in fields.items():
         value = message.get(name)
-        if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+        if not isinstance(value, expected_type) or (isinstance(value, bool) and expected_type is not bool):
             raise InvalidFieldError(name, "is missing or wrong")
     return message
 
 
-def convert(value: Any, kind: type[Kind]) -> Kind:
-    """Return decoded JSON as an object of `kind`; raise InvalidMessageError where it does not fit."""
+def convert(value: Any, expected_type: type[Decoded]) -> Decoded:
+    """Convert decoded JSON to `expected_type`. Raises InvalidMessageError if it does not match."""
     try:
-        return msgspec.convert(value, type=kind)
+        return msgspec.convert(value, type=expected_type)
     except msgspec.ValidationError as error:
         raise InvalidMessageError(str(error)) from None
 
 
 def look_up(table: dict[str, Any], message: dict[str, Any], name: str) -> Any:
-    """Return what `table` holds for a field's value; raise InvalidMessageError where it holds nothing."""
+    """Return the entry of `table` for the field's value. Raises InvalidMessageError if there is none."""
     value = message.get(name)
     if value not in table:
         raise InvalidFieldError(name, "has no such value")
@@ -48,7 +49,7 @@
 
 
 def decode_message(data: bytes) -> dict[str, Any]:
-    """Return the JSON object of a message of this version; raise InvalidMessageError otherwise."""
+    """Decode a message to a JSON object. Raises InvalidMessageError if it or its version is invalid."""
     try:
         message = check_fields(msgspec.json.decode(data), {"v": int})
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError):
@@ -58,6 +59,6 @@
     return message
 
 
-def decode_as(data: bytes, kind: type[Kind]) -> Kind:
-    """Return a message of this version as an object of `kind`; raise InvalidMessageError otherwise."""
-    return convert(decode_message(data), kind)
+def decode_as(data: bytes, expected_type: type[Decoded]) -> Decoded:
+    """Decode a message to `expected_type`. Raises InvalidMessageError if it or its version is invalid."""
+    return convert(decode_message(data), expected_type)
