--- a/gullmount/decisions/attribution/attribution.py
+++ b/gullmount/decisions/attribution/attribution.py
@@ -34,18 +34,18 @@
     def __init__(
         self, instance_number: int, instance_count: int, gossip_enabled: bool, one_way: bool
     ) -> None:
-        gossips = gossip_enabled and instance_count > 1
+        exchanges_gossip = gossip_enabled and instance_count > 1
         peers = [peer for peer in range(instance_count) if peer != instance_number]
         self.instance_number = instance_number
         self.evidence = Evidence()
-        self.evaluators = Evaluators(instance_number, instance_count, gossips)
-        self.gossip = Gossip(peers if gossips else [])
+        self.evaluators = Evaluators(instance_number, instance_count, exchanges_gossip)
+        self.gossip = Gossip(peers if exchanges_gossip else [])
         self.analyzer = EvidenceAnalyzer()
         self.traffic_reduction = TrafficReduction(is_allowed=not one_way)
         self.assessment = Assessment(Finding(Cause.NOTHING))
         self.vote_token = 0
         self.on_finding: Callable[[Finding], None] | None = None
-        self._last_findings = {self.assessment.finding.key}
+        self._last_finding_keys = {self.assessment.finding.key}
         self._evaluated_at = float("-inf")
 
     def connect_peers(self, send_samples: SendSamples, send_assessment: SendAssessment) -> None:
@@ -88,9 +88,9 @@
         if is_new and leader == self.instance_number and reduced_build:
             self.begin_traffic_reduction(now, reduced_build)
 
-    def set_reduction_request_callback(self, request: RequestReduction) -> None:
+    def set_reduction_request_callback(self, request_reduction: RequestReduction) -> None:
         """Set what the leader calls before it reduces a build's traffic, and with 0 after it."""
-        self.traffic_reduction.request = request
+        self.traffic_reduction.request_reduction = request_reduction
 
     def begin_traffic_reduction(self, now: float, build: int) -> None:
         """Begin the reduction that was requested, now that a successor can find it."""
@@ -126,15 +126,18 @@
             token=self.evaluators.token,
         )
         slowdown, assessment = evaluation.slowdown, evaluation.assessment
-        absorbable = any(
-            one.build == slowdown.build and can_absorb(one, candidates, servers) for one in candidates
+        can_absorb_traffic = any(
+            candidate.build == slowdown.build and can_absorb(candidate, candidates, servers)
+            for candidate in candidates
         )
-        blamed = assessment.rollback_reasons.keys()
-        assessment.reduced_build = self.build_to_reduce(now, slowdown, blamed, absorbable)
+        blamed_builds = assessment.rollback_reasons.keys()
+        assessment.reduced_build = self.build_to_reduce(now, slowdown, blamed_builds, can_absorb_traffic)
         self.assessment = assessment
         self._report(evaluation.findings)
 
-    def build_to_reduce(self, now: float, slowdown: Finding, blamed: Iterable[int], absorbable: bool) -> int:
+    def build_to_reduce(
+        self, now: float, slowdown: Finding, blamed_builds: Iterable[int], can_absorb_traffic: bool
+    ) -> int:
         """Return the build whose traffic is to be reduced, 0 for none.
 
         The evaluator with the lowest number decides: two shares that are reduced at once couldn't be told
@@ -146,14 +149,17 @@
         return self.traffic_reduction.choose(
             now,
             slowdown,
-            set(blamed),
-            absorbable=absorbable,
+            set(blamed_builds),
+            can_absorb_traffic=can_absorb_traffic,
             has_leader=self.evaluators.has_leader,
             is_evaluator=self.evaluators.includes_this_instance,
         )
 
     def _report(self, findings: Sequence[Finding]) -> None:
-        known, self._last_findings = self._last_findings, {finding.key for finding in findings}
+        previous_keys, self._last_finding_keys = (
+            self._last_finding_keys,
+            {finding.key for finding in findings},
+        )
         for finding in findings:
-            if finding.key not in known and self.on_finding is not None:
+            if finding.key not in previous_keys and self.on_finding is not None:
                 self.on_finding(finding)
--- a/gullmount/decisions/attribution/candidate_checks.py
+++ b/gullmount/decisions/attribution/candidate_checks.py
@@ -24,18 +24,18 @@
 
 FALSE_ALARM_PROBABILITY = 0.01  # that healthy builds are blamed in a release, over all evaluations and tests
 INDEPENDENT_EVALUATIONS = 4.0  # of changing evidence, as many as a release has
-TESTS_PER_PART = 4  # failures and latency, over the long and the short span
-DOUBT_PROBABILITY = 0.03  # by chance; below it a build is held, though not blamed
+TESTS_PER_SEGMENT = 4  # failures and latency, over the long and the short span
+HOLD_SIGNIFICANCE = 0.03  # by chance; below it a build is held, though not blamed
 MIN_FAILURE_EXCESS = 0.02  # of a build's share of failures over the baseline's, for it to be blamed
 MIN_FAILURES = 2  # for a build to be blamed: a single one may be a broken request
 MIN_LATENCY_RATIO = 1.5  # of a build's latency to the baseline's, for it to be blamed
 MIN_BASELINE_ATTEMPTS = 15  # with fewer the other candidate is compared with too
-SETTLING_TIME = 3.0  # seconds after the newest server's start before a promotion
-MIN_CLEAN_ATTEMPTS = 20  # that allow a promotion
-MIN_FLAWLESS_ATTEMPTS = 5  # that allow one where none failed, after EXTRA_SETTLING_TIME
-EXTRA_SETTLING_TIME = 2.0  # seconds
-MAX_HIDDEN_SLOWDOWN = 1.1  # octaves; a build that may be slower than that wasn't seen well enough
-ONE_SIDED_95_PERCENT = 1.64  # standard deviations
+SETTLING_SECONDS = 3.0  # seconds after the newest server's start before a promotion
+MIN_SUCCESSFUL_ATTEMPTS = 20  # that allow a promotion
+MIN_FAILURE_FREE_ATTEMPTS = 5  # that allow one where none failed, after EXTRA_SETTLING_SECONDS
+EXTRA_SETTLING_SECONDS = 2.0  # seconds
+MAX_UNDETECTED_SLOWDOWN_OCTAVES = 1.1  # octaves; a build that may be slower than that wasn't seen well enough
+ONE_SIDED_95_PERCENT_Z_SCORE = 1.64  # standard deviations
 
 
 class Baseline(NamedTuple):
@@ -50,14 +50,14 @@
     excluded_build: int
 
 
-def baseline_of(samples: Iterable[Sample], build: int, not_serving: set[int]) -> Baseline:
+def choose_baseline(samples: Iterable[Sample], build: int, unreleased_builds: set[int]) -> Baseline:
     """Choose what the build is compared with: what serves, or all others where too little serves."""
-    excluded = not_serving | {build}
+    excluded = unreleased_builds | {build}
     attempts = sum(sums.attempts for _, key, sums in samples if key.build not in excluded)
     if attempts < MIN_BASELINE_ATTEMPTS:
         return Baseline(lambda other: other != build, build)
-    if build in not_serving:
-        return Baseline(lambda other: other not in not_serving, 0)
+    if build in unreleased_builds:
+        return Baseline(lambda other: other not in unreleased_builds, 0)
     return Baseline(lambda other: other not in excluded, build)
 
 
@@ -66,7 +66,7 @@
     """What is held against a build: findings blame it, a doubt holds it at its stage."""
 
     findings: list[Finding]
-    is_doubtful: bool
+    should_hold: bool
 
 
 def check_build(
@@ -89,19 +89,19 @@
     own_keys = [key for _, key, _ in samples if key.build == build]
     zones = sorted({key.zone for key in own_keys})
     routes = sorted({key.route for key in own_keys})
-    tests = TESTS_PER_PART * (1 + len(zones) + len(routes))
+    tests = TESTS_PER_SEGMENT * (1 + len(zones) + len(routes))
     significance = FALSE_ALARM_PROBABILITY / (INDEPENDENT_EVALUATIONS * max(1, evaluator_count) * tests)
     failures = _compare_all_failures(samples, build, is_baseline, zones, routes)
     slowdowns = {zone: latencies.compare(build, zone) for zone in ["", *zones]}
-    found = (
-        _blame_for_failures(build, failures, significance),
-        _blame_for_latency(build, slowdowns, zones, significance),
+    possible_findings = (
+        _failure_finding(build, failures, significance),
+        _latency_finding(build, slowdowns, zones, significance),
     )
-    findings = [finding for finding in found if finding is not None]
-    return CheckResult(findings, _is_doubtful(failures, slowdowns))
+    findings = [finding for finding in possible_findings if finding is not None]
+    return CheckResult(findings, _should_hold(failures, slowdowns))
 
 
-class _Failures(NamedTuple):
+class _FailureComparisons(NamedTuple):
     whole: FailureComparison
     by_zone: dict[str, FailureComparison]
     by_route: dict[str, FailureComparison]
@@ -117,107 +117,112 @@
     is_baseline: IsBaseline,
     zones: Sequence[str],
     routes: Sequence[str],
-) -> _Failures:
+) -> _FailureComparisons:
     by_zone = {
-        zone: compare_failures([one for one in samples if one.key.zone == zone], build, is_baseline)
+        zone: compare_failures([sample for sample in samples if sample.key.zone == zone], build, is_baseline)
         for zone in zones
     }
     by_route = {
-        route: compare_failures([one for one in samples if one.key.route == route], build, is_baseline)
+        route: compare_failures(
+            [sample for sample in samples if sample.key.route == route], build, is_baseline
+        )
         for route in routes
     }
-    return _Failures(compare_failures(samples, build, is_baseline), by_zone, by_route)
+    return _FailureComparisons(compare_failures(samples, build, is_baseline), by_zone, by_route)
 
 
-def _blame_for_failures(build: int, failures: _Failures, significance: float) -> Finding | None:
-    strongest = min(failures.all, key=lambda one: one.p_value)
-    if strongest.failed < MIN_FAILURES or strongest.excess <= MIN_FAILURE_EXCESS:
+def _failure_finding(build: int, failures: _FailureComparisons, significance: float) -> Finding | None:
+    most_significant = min(failures.all, key=lambda result: result.p_value)
+    if most_significant.failed < MIN_FAILURES or most_significant.excess <= MIN_FAILURE_EXCESS:
         return None
-    if strongest.p_value >= significance:
+    if most_significant.p_value >= significance:
         return None
     return Finding(
         Cause.BUILD,
         build,
         Symptom.FAILS,
-        zone=only_failing_part(failures.by_zone),
-        route=only_failing_part(failures.by_route),
-        confidence=1 - strongest.p_value,
-        figures=strongest.summary(),
+        zone=only_failing_segment(failures.by_zone),
+        route=only_failing_segment(failures.by_route),
+        confidence=1 - most_significant.p_value,
+        figures=most_significant.summary(),
         attempts=failures.whole.attempts,
     )
 
 
-def _blame_for_latency(
+def _latency_finding(
     build: int, slowdowns: Mapping[str, LatencyComparison], zones: Sequence[str], significance: float
 ) -> Finding | None:
-    strongest = min(slowdowns.values(), key=lambda one: one.p_value)
-    if strongest.ratio <= MIN_LATENCY_RATIO or strongest.p_value >= significance:
+    most_significant = min(slowdowns.values(), key=lambda result: result.p_value)
+    if most_significant.ratio <= MIN_LATENCY_RATIO or most_significant.p_value >= significance:
         return None
     return Finding(
         Cause.BUILD,
         build,
         Symptom.SLOW,
         zone=_only_slow_zone(zones, slowdowns),
-        confidence=1 - strongest.p_value,
-        figures=strongest.summary(),
-        attempts=strongest.timed,
+        confidence=1 - most_significant.p_value,
+        figures=most_significant.summary(),
+        attempts=most_significant.timed,
     )
 
 
-def only_failing_part(failures: Mapping[str, FailureComparison]) -> str:
+def only_failing_segment(failures: Mapping[str, FailureComparison]) -> str:
     """Return the one zone or route that fails where the others were seen well enough; empty for none."""
-    failing = [part for part, comparison in failures.items() if comparison.failed]
-    if len(failing) != 1 or len(failures) == 1:
+    failing_segments = [segment for segment, comparison in failures.items() if comparison.failed]
+    if len(failing_segments) != 1 or len(failures) == 1:
         return ""
-    part = failing[0]
-    share = failures[part].failed / failures[part].attempts
-    others = sum(comparison.attempts for other, comparison in failures.items() if other != part)
-    return part if (1 - share) ** others < DOUBT_PROBABILITY else ""
+    segment = failing_segments[0]
+    failure_rate = failures[segment].failed / failures[segment].attempts
+    other_attempts = sum(comparison.attempts for other, comparison in failures.items() if other != segment)
+    return segment if (1 - failure_rate) ** other_attempts < HOLD_SIGNIFICANCE else ""
 
 
 def _only_slow_zone(zones: Sequence[str], slowdowns: Mapping[str, LatencyComparison]) -> str:
-    slow = [zone for zone in zones if slowdowns[zone].p_value < DOUBT_PROBABILITY]
-    if len(slow) != 1:
+    slow_zones = [zone for zone in zones if slowdowns[zone].p_value < HOLD_SIGNIFICANCE]
+    if len(slow_zones) != 1:
         return ""
-    others = (slowdowns[zone] for zone in zones if zone != slow[0])
-    healthy = any(one.p_value > DOUBT_PROBABILITY and one.timed >= MIN_FLAWLESS_ATTEMPTS for one in others)
-    return slow[0] if healthy else ""
+    other_comparisons = (slowdowns[zone] for zone in zones if zone != slow_zones[0])
+    has_healthy_zone = any(
+        result.p_value > HOLD_SIGNIFICANCE and result.timed >= MIN_FAILURE_FREE_ATTEMPTS
+        for result in other_comparisons
+    )
+    return slow_zones[0] if has_healthy_zone else ""
 
 
-def _is_doubtful(failures: _Failures, slowdowns: Mapping[str, LatencyComparison]) -> bool:
-    if any(one.failed and one.p_value < DOUBT_PROBABILITY for one in failures.all):
+def _should_hold(failures: _FailureComparisons, slowdowns: Mapping[str, LatencyComparison]) -> bool:
+    if any(result.failed and result.p_value < HOLD_SIGNIFICANCE for result in failures.all):
         return True
-    if any(is_probably_slow(one) for one in slowdowns.values()):
+    if any(is_slowdown_likely(result) for result in slowdowns.values()):
         return True
-    return not is_surely_quick(slowdowns[""])
+    return not rules_out_large_slowdown(slowdowns[""])
 
 
-def is_probably_slow(comparison: LatencyComparison) -> bool:
+def is_slowdown_likely(comparison: LatencyComparison) -> bool:
     """Whether a slowdown is probable enough to hold the build."""
-    return comparison.p_value < DOUBT_PROBABILITY and comparison.ratio > sqrt(MIN_LATENCY_RATIO)
+    return comparison.p_value < HOLD_SIGNIFICANCE and comparison.ratio > sqrt(MIN_LATENCY_RATIO)
 
 
-def is_surely_quick(comparison: LatencyComparison) -> bool:
+def rules_out_large_slowdown(comparison: LatencyComparison) -> bool:
     """Whether enough was seen to exclude that the build is far slower, or nothing is there to compare."""
     if not comparison.baseline_servers:
         return True
     if not comparison.timed:
         return False
-    highest = log2(comparison.ratio) + ONE_SIDED_95_PERCENT * comparison.deviation
-    return highest < MAX_HIDDEN_SLOWDOWN
+    upper_bound = log2(comparison.ratio) + ONE_SIDED_95_PERCENT_Z_SCORE * comparison.deviation
+    return upper_bound < MAX_UNDETECTED_SLOWDOWN_OCTAVES
 
 
-def is_well_seen(
+def has_enough_evidence(
     samples: Iterable[Sample], candidate: CandidateView, now: float, servers: Iterable[ServerView]
 ) -> bool:
     """Whether a candidate's servers are old enough and its attempts enough for a promotion."""
     ages = [server.age(now) for server in servers if server.build == candidate.build and server.ready]
-    if not ages or min(ages) < SETTLING_TIME:
+    if not ages or min(ages) < SETTLING_SECONDS:
         return False
     own = [sums for _, key, sums in samples if key.build == candidate.build]
     attempts = sum(sums.attempts for sums in own)
     failed = sum(sums.failed for sums in own)
-    if attempts - failed >= MIN_CLEAN_ATTEMPTS:
+    if attempts - failed >= MIN_SUCCESSFUL_ATTEMPTS:
         return True
-    long_settled = min(ages) >= SETTLING_TIME + EXTRA_SETTLING_TIME
-    return attempts >= MIN_FLAWLESS_ATTEMPTS and not failed and long_settled
+    has_settled_longer = min(ages) >= SETTLING_SECONDS + EXTRA_SETTLING_SECONDS
+    return attempts >= MIN_FAILURE_FREE_ATTEMPTS and not failed and has_settled_longer
--- a/gullmount/decisions/attribution/comparison.py
+++ b/gullmount/decisions/attribution/comparison.py
@@ -20,11 +20,15 @@
 MIN_SERVER_LATENCIES = 2  # of a server, for it to be compared
 MIN_BASELINE_SERVERS = 3  # to estimate how much servers differ
 MIN_ZONE_LATENCIES = 8  # of the baseline in a zone, to estimate the zone's distance
-MIN_SERVER_DEVIATION = 0.15  # octaves, between healthy servers: machines aren't alike
-UNKNOWN_SERVER_VARIANCE = MIN_SERVER_DEVIATION**2 * 4  # octaves squared, with too few baseline servers
-BUILD_DEVIATION = 0.2  # octaves, between the servers of healthy builds: they aren't loaded alike
-SINGLE_SERVER_DEVIATION = 0.25  # octaves more for a lone server, so that a busy machine blames no build
-SLICES_COMPARED = 2  # slices taken together as the same seconds
+MIN_SERVER_DEVIATION_OCTAVES = 0.15  # octaves, between healthy servers: machines aren't alike
+DEFAULT_SERVER_VARIANCE = (
+    MIN_SERVER_DEVIATION_OCTAVES**2 * 4
+)  # octaves squared, with too few baseline servers
+BUILD_DEVIATION_OCTAVES = 0.2  # octaves, between the servers of healthy builds: they aren't loaded alike
+SINGLE_SERVER_DEVIATION_OCTAVES = (
+    0.25  # octaves more for a lone server, so that a busy machine blames no build
+)
+SLICES_PER_COMPARISON = 2  # slices taken together as the same seconds
 DEFAULT_LATENCY_VARIANCE = 1.0  # octaves squared, where no server has two latencies
 
 IsBaseline = Callable[[int], bool]  # whether a build belongs to the baseline
@@ -89,11 +93,14 @@
         )
 
 
-def upper_tail(count: int, total: int, share: float) -> float:
+def binomial_upper_tail(count: int, total: int, probability: float) -> float:
     """Return the probability that at least `count` of `total` fall into a part of this share."""
     return min(
         1.0,
-        sum(comb(total, k) * share**k * (1 - share) ** (total - k) for k in range(count, total + 1)),
+        sum(
+            comb(total, k) * probability**k * (1 - probability) ** (total - k)
+            for k in range(count, total + 1)
+        ),
     )
 
 
@@ -116,7 +123,9 @@
     failed = sum(counts.failed for counts in kept)
     p_value = 1.0
     if failed and baseline.attempts:
-        p_value = upper_tail(failed, failed + baseline.failed, attempts / (attempts + baseline.attempts))
+        p_value = binomial_upper_tail(
+            failed, failed + baseline.failed, attempts / (attempts + baseline.attempts)
+        )
     return FailureComparison(attempts, failed, baseline.attempts, baseline.failed, p_value)
 
 
@@ -178,13 +187,17 @@
 
     def compare(self, build: int, zone: str = "") -> LatencyComparison:
         """Compare the build with the baseline, in one zone or (by default) in all."""
-        own = self._means(lambda at_build, at_zone: at_build == build and zone in ("", at_zone))
-        baseline = self._means(lambda at_build, at_zone: self.is_baseline(at_build) and zone in ("", at_zone))
+        own = self._means(
+            lambda server_build, server_zone: server_build == build and zone in ("", server_zone)
+        )
+        baseline = self._means(
+            lambda server_build, server_zone: self.is_baseline(server_build) and zone in ("", server_zone)
+        )
         timed = int(sum(mean.timed for mean in own))
         if not own or not baseline:
             return LatencyComparison(1.0, 1.0, len(own), len(baseline), timed)
         mean, baseline_mean = self._pooled(own), self._pooled(baseline)
-        variance_of_build = BUILD_DEVIATION**2 + SINGLE_SERVER_DEVIATION**2 / len(own)
+        variance_of_build = BUILD_DEVIATION_OCTAVES**2 + SINGLE_SERVER_DEVIATION_OCTAVES**2 / len(own)
         deviation = sqrt(mean.variance + baseline_mean.variance + variance_of_build)
         difference = mean.value - baseline_mean.value
         p_value = 1 - NormalDist().cdf(difference / deviation)
@@ -194,16 +207,16 @@
         baseline: dict[tuple[int, str], LatencySums] = defaultdict(LatencySums)
         for slice_number, key, sums in samples:
             if self.is_baseline(key.build) and sums.timed:
-                reference = baseline[slice_number // SLICES_COMPARED, key.route]
+                reference = baseline[slice_number // SLICES_PER_COMPARISON, key.route]
                 reference.count += sums.timed
                 reference.total += sums.total
         baseline_means = {
-            part: reference.mean
-            for part, reference in baseline.items()
+            slices_and_route: reference.mean
+            for slices_and_route, reference in baseline.items()
             if reference.count >= MIN_BASELINE_LATENCIES
         }
         for slice_number, key, sums in samples:
-            mean = baseline_means.get((slice_number // SLICES_COMPARED, key.route))
+            mean = baseline_means.get((slice_number // SLICES_PER_COMPARISON, key.route))
             if mean is not None and sums.timed:
                 server = self._server(key)
                 server.count += sums.timed
@@ -231,30 +244,30 @@
 
     def _variance_within(self) -> float:
         """Return the variance of single latencies at one server."""
-        freedom = spread = 0.0
+        degrees_of_freedom = spread = 0.0
         for server in self.servers.values():
             if server.count > 1:
-                freedom += server.count - 1
+                degrees_of_freedom += server.count - 1
                 spread += server.squares - server.total * server.total / server.count
-        return spread / freedom if freedom else DEFAULT_LATENCY_VARIANCE
+        return spread / degrees_of_freedom if degrees_of_freedom else DEFAULT_LATENCY_VARIANCE
 
     def _variance_between(self) -> float:
         """Return the variance of the mean latencies of healthy servers."""
         means = self._means(lambda build, _zone: self.is_baseline(build))
         if len(means) < MIN_BASELINE_SERVERS:
-            return UNKNOWN_SERVER_VARIANCE
+            return DEFAULT_SERVER_VARIANCE
         weight = sum(mean.timed for mean in means)
-        middle = sum(mean.timed * mean.value for mean in means) / weight
-        spread = sum((mean.value - middle) ** 2 for mean in means) / (len(means) - 1)
-        by_chance = sum(self.variance_within / mean.timed for mean in means) / len(means)
-        return float(max(MIN_SERVER_DEVIATION**2, spread - by_chance))
+        grand_mean = sum(mean.timed * mean.value for mean in means) / weight
+        spread = sum((mean.value - grand_mean) ** 2 for mean in means) / (len(means) - 1)
+        expected_spread = sum(self.variance_within / mean.timed for mean in means) / len(means)
+        return float(max(MIN_SERVER_DEVIATION_OCTAVES**2, spread - expected_spread))
 
-    def _means(self, is_wanted: Callable[[int, str], bool]) -> list[Mean]:
+    def _means(self, is_selected: Callable[[int, str], bool]) -> list[Mean]:
         """Return the mean of each server whose build and zone are wanted."""
         return [
             Mean(server.count, server.total / server.count)
             for server in self.servers.values()
-            if server.count >= MIN_SERVER_LATENCIES and is_wanted(server.build, server.zone)
+            if server.count >= MIN_SERVER_LATENCIES and is_selected(server.build, server.zone)
         ]
 
     def _pooled(self, means: Iterable[Mean]) -> Estimate:
--- a/gullmount/decisions/attribution/evaluation.py
+++ b/gullmount/decisions/attribution/evaluation.py
@@ -5,17 +5,19 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from gullmount.decisions.attribution.candidate_checks import baseline_of, check_build, is_well_seen
+from gullmount.decisions.attribution.candidate_checks import check_build, choose_baseline, has_enough_evidence
 from gullmount.decisions.attribution.comparison import ServerLatencies
-from gullmount.decisions.attribution.evidence import SLICE_SECONDS, Evidence, Sample, without_slices
+from gullmount.decisions.attribution.evidence import SLICE_SECONDS, Evidence, Sample, sum_over_slices
 from gullmount.decisions.attribution.findings import Assessment, Cause, Finding
 from gullmount.decisions.attribution.general_slowdown import GeneralSlowdown
 from gullmount.decisions.attribution.transitions import Transitions
-from gullmount.decisions.attribution.views import CandidateView, ServerView, builds_not_serving
+from gullmount.decisions.attribution.views import CandidateView, ServerView, find_unreleased_builds
 from gullmount.decisions.model import ReleasePhase
 
-LONG_SPAN = 20.0  # seconds over which builds are compared: enough for the few attempts of a first stage
-SHORT_SPAN = 8.0  # seconds likewise: short enough for what has begun in the middle of a stage
+LONG_SPAN_SECONDS = (
+    20.0  # seconds over which builds are compared: enough for the few attempts of a first stage
+)
+SHORT_SPAN_SECONDS = 8.0  # seconds likewise: short enough for what has begun in the middle of a stage
 
 
 @dataclass(frozen=True)
@@ -60,8 +62,8 @@
             evaluator_count: Number of instances that evaluate.
             token: Fencing token of the assessment; 0 where there is no leader.
         """
-        samples = list(evidence.since(now, LONG_SPAN))
-        sums = without_slices(samples)
+        samples = list(evidence.since(now, LONG_SPAN_SECONDS))
+        sums = sum_over_slices(samples)
         checks = self._check_builds(now, samples, sums, candidates, evaluator_count)
         findings = checks.findings
         assessment = Assessment(Finding(Cause.NOTHING), token=token)
@@ -74,8 +76,8 @@
             assessment.rollback_reasons.setdefault(slowdown.build, slowdown.summary())
             findings.append(slowdown)
         if slowdown.cause in (Cause.NOTHING, Cause.ZONE):
-            held = checks.doubtful_builds | assessment.rollback_reasons.keys()
-            promotable = self._promotable(now, sums, candidates, servers, held)
+            held_builds = checks.builds_to_hold | assessment.rollback_reasons.keys()
+            promotable = self._promotable_candidate(now, sums, candidates, servers, held_builds)
             if promotable is not None:
                 assessment.promotable_stages[promotable.build] = promotable.stage
         findings = findings or [slowdown]
@@ -89,17 +91,19 @@
         sums: Sequence[Sample],
         candidates: Sequence[CandidateView],
         evaluator_count: int,
-    ) -> _Checks:
+    ) -> _CheckSummary:
         """Compare each build that may be blamed with its baseline, over the long and the short span."""
-        not_serving = builds_not_serving(candidates)
-        suspects = [one.build for one in candidates if self.transitions.may_be_blamed(one, now)]
-        first_of_short_span = int((now - SHORT_SPAN) / SLICE_SECONDS)
-        late_samples = [sample for sample in samples if sample.slice_number >= first_of_short_span]
-        checks = _Checks([], set())
-        for span_samples, span_sums in ((samples, sums), (late_samples, without_slices(late_samples))):
+        unreleased_builds = find_unreleased_builds(candidates)
+        suspected_builds = [
+            suspect.build for suspect in candidates if self.transitions.may_be_blamed(suspect, now)
+        ]
+        first_recent_slice = int((now - SHORT_SPAN_SECONDS) / SLICE_SECONDS)
+        recent_samples = [sample for sample in samples if sample.slice_number >= first_recent_slice]
+        checks = _CheckSummary([], set())
+        for span_samples, span_sums in ((samples, sums), (recent_samples, sum_over_slices(recent_samples))):
             latencies: dict[int, ServerLatencies] = {}  # by the build that their baseline excludes
-            for build in suspects:
-                baseline = baseline_of(span_sums, build, not_serving)
+            for build in suspected_builds:
+                baseline = choose_baseline(span_sums, build, unreleased_builds)
                 if baseline.excluded_build not in latencies:
                     latencies[baseline.excluded_build] = ServerLatencies(span_samples, baseline.includes)
                 check = check_build(
@@ -110,17 +114,17 @@
                     evaluator_count,
                 )
                 checks.findings.extend(check.findings)
-                if check.is_doubtful and span_samples is samples:
-                    checks.doubtful_builds.add(build)
+                if check.should_hold and span_samples is samples:
+                    checks.builds_to_hold.add(build)
         return checks
 
-    def _promotable(
+    def _promotable_candidate(
         self,
         now: float,
         sums: Sequence[Sample],
         candidates: Sequence[CandidateView],
         servers: Sequence[ServerView],
-        held: set[int],
+        held_builds: set[int],
     ) -> CandidateView | None:
         """Return the oldest candidate that may be promoted.
 
@@ -129,17 +133,17 @@
         for candidate in candidates:
             if (
                 candidate.phase is ReleasePhase.CANDIDATE
-                and candidate.build not in held
+                and candidate.build not in held_builds
                 and self.transitions.others_are_settled(candidate.build, now)
-                and is_well_seen(sums, candidate, now, servers)
+                and has_enough_evidence(sums, candidate, now, servers)
             ):
                 return candidate
         return None
 
 
 @dataclass(frozen=True)
-class _Checks:
+class _CheckSummary:
     """What the comparisons of all builds came to."""
 
     findings: list[Finding]
-    doubtful_builds: set[int]
+    builds_to_hold: set[int]
--- a/gullmount/decisions/attribution/evidence.py
+++ b/gullmount/decisions/attribution/evidence.py
@@ -14,7 +14,7 @@
 MAX_SLICES = 45  # slices kept: two stages of each candidate and some normal service before them
 MAX_SAMPLES = 60_000  # sums kept, about 20 MB; past that the oldest slices go first
 MAX_SLICES_AHEAD = 2  # by which the slice of a peer may lie ahead of ours: clocks differ, messages come late
-MIN_LATENCY = 1e-4  # objectives; the logarithm of anything quicker is taken as of this
+MIN_RELATIVE_LATENCY = 1e-4  # objectives; the logarithm of anything quicker is taken as of this
 
 
 class SampleKey(NamedTuple):
@@ -63,7 +63,7 @@
         self.attempts += 1
         self.failed += failed
         if latency is not None:
-            octaves = log2(max(latency, MIN_LATENCY))
+            octaves = log2(max(latency, MIN_RELATIVE_LATENCY))
             self.timed += 1
             self.total += octaves
             self.squares += octaves * octaves
@@ -94,31 +94,31 @@
 
     def record(self, now: float, key: SampleKey, latency: float | None, failed: bool) -> None:
         """Add an attempt that ended now; `latency` in objectives, None where it doesn't count."""
-        self._sums_of(int(now / SLICE_SECONDS), key).record(latency, failed)
+        self._sums_for(int(now / SLICE_SECONDS), key).record(latency, failed)
         self._drop_excess()
 
     def merge(self, now: float, rows: Iterable[SampleRow]) -> None:
         """Add what another instance saw; rows from outside the kept slices are left out."""
-        current = int(now / SLICE_SECONDS)
+        current_slice = int(now / SLICE_SECONDS)
         for row in rows:
             if -MAX_SLICES_AHEAD <= row.slices_ago < MAX_SLICES:
                 key = SampleKey(row.server_id, row.build, row.zone, row.route)
-                sums = self._sums_of(current - max(0, row.slices_ago), key)
+                sums = self._sums_for(current_slice - max(0, row.slices_ago), key)
                 sums.add(row.attempts, row.failed, row.timed, row.total, row.squares)
         self._drop_excess()
 
     def since(self, now: float, span: float) -> Iterator[Sample]:
         """Yield the samples of the last `span` seconds, the oldest slice first."""
-        first = int((now - span) / SLICE_SECONDS)
-        for slice_number in sorted(number for number in self.slices if number >= first):
+        first_slice = int((now - span) / SLICE_SECONDS)
+        for slice_number in sorted(number for number in self.slices if number >= first_slice):
             yield from self.slices[slice_number].values()
 
     def rows(self, now: float) -> list[SampleRow]:
         """Return all samples as they are sent to a peer, the oldest slice first."""
-        current = int(now / SLICE_SECONDS)
+        current_slice = int(now / SLICE_SECONDS)
         return [
             SampleRow(
-                current - slice_number,
+                current_slice - slice_number,
                 *key,
                 sums.attempts,
                 sums.failed,
@@ -130,7 +130,7 @@
             for slice_number, key, sums in samples.values()
         ]
 
-    def _sums_of(self, slice_number: int, key: SampleKey) -> SampleSums:
+    def _sums_for(self, slice_number: int, key: SampleKey) -> SampleSums:
         samples = self._slice(slice_number)
         sample = samples.get(key)
         if sample is None:
@@ -142,8 +142,8 @@
         if slice_number not in self.slices:
             self.slices[slice_number] = {}
             newest = max(self.slices)
-            for old in [number for number in self.slices if number <= newest - MAX_SLICES]:
-                self.sample_count -= len(self.slices.pop(old))
+            for expired in [number for number in self.slices if number <= newest - MAX_SLICES]:
+                self.sample_count -= len(self.slices.pop(expired))
         return self.slices[slice_number]
 
     def _drop_excess(self) -> None:
@@ -151,7 +151,7 @@
             self.sample_count -= len(self.slices.pop(min(self.slices)))
 
 
-def without_slices(samples: Iterable[Sample]) -> list[Sample]:
+def sum_over_slices(samples: Iterable[Sample]) -> list[Sample]:
     """Return the samples added up over their slices, one for each key."""
     sums_by_key: dict[SampleKey, SampleSums] = defaultdict(SampleSums)
     for _, key, sums in samples:
--- a/gullmount/decisions/attribution/general_slowdown.py
+++ b/gullmount/decisions/attribution/general_slowdown.py
@@ -15,16 +15,16 @@
 from gullmount.decisions.attribution.latency_series import observe_series
 from gullmount.decisions.attribution.slowdown_models import Explanation, LatencySeries, explain
 from gullmount.decisions.attribution.transitions import Transitions
-from gullmount.decisions.attribution.views import CandidateView, builds_not_serving
+from gullmount.decisions.attribution.views import CandidateView, find_unreleased_builds
 from gullmount.decisions.attribution.zone_slowdown import find_zone_slowdown
 from gullmount.decisions.model import ROLLBACK_PHASES, ReleasePhase
 
 MIN_SLICES = 8  # to explain anything
-MIN_RISE = 0.4  # octaves above normal service from which on it has degraded
-HOLD_MARGIN = 1.5  # BIC difference to no slowdown from which on candidates are held
-LIKELY_MARGIN = 4.0  # BIC difference from which on a cause that rolls nothing back is named
-SURE_MARGIN = 9.0  # BIC difference from which on a build is blamed: wrong once in 90 evaluations
-MIN_SUSPECT_TIME = 1.5  # seconds for which a build must explain it: what has just begun has no shape yet
+MIN_RISE_OCTAVES = 0.4  # octaves above normal service from which on it has degraded
+HOLD_BIC_MARGIN = 1.5  # BIC difference to no slowdown from which on candidates are held
+CAUSE_BIC_MARGIN = 4.0  # BIC difference from which on a cause that rolls nothing back is named
+BLAME_BIC_MARGIN = 9.0  # BIC difference from which on a build is blamed: wrong once in 90 evaluations
+MIN_SUSPECT_SECONDS = 1.5  # seconds for which a build must explain it: what has just begun has no shape yet
 
 
 class Suspect(NamedTuple):
@@ -57,14 +57,14 @@
             candidates: All builds under release.
             transitions: When each of them changed last.
         """
-        not_serving = builds_not_serving(candidates)
-        series, attempts = observe_series(now, evidence, not_serving)
+        unreleased_builds = find_unreleased_builds(candidates)
+        series, attempts = observe_series(now, evidence, unreleased_builds)
         if len(series.means) < MIN_SLICES:
             return Finding(Cause.NOTHING, attempts=attempts)
         explanation = explain(series)
-        if explanation.rise < MIN_RISE or explanation.excess_of_no_slowdown() < HOLD_MARGIN:
+        if explanation.rise < MIN_RISE_OCTAVES or explanation.excess_of_no_slowdown() < HOLD_BIC_MARGIN:
             self.suspect = Suspect(0, now)
-            return find_zone_slowdown(now, recent_samples, not_serving, attempts)
+            return find_zone_slowdown(now, recent_samples, unreleased_builds, attempts)
         return self._attribute(now, explanation, series, attempts, candidates, transitions)
 
     def _attribute(
@@ -80,15 +80,17 @@
         confidence = 1 - exp(-margin / 2)
         figures = summarize(explanation, series)
         rollbacks_settled = transitions.rollbacks_are_settled(now)
-        blamable = {
+        blamable_builds = {
             candidate.build
             for candidate in candidates
             if candidate.phase in ROLLBACK_PHASES
             or (rollbacks_settled and transitions.may_be_blamed(candidate, now))
         }
-        is_sure = best.cause is Cause.BUILD and best.build in blamable and margin >= SURE_MARGIN
-        self._note_suspect(now, best.build if is_sure else 0)
-        if is_sure and now - self.suspect.since >= MIN_SUSPECT_TIME:
+        is_conclusive = (
+            best.cause is Cause.BUILD and best.build in blamable_builds and margin >= BLAME_BIC_MARGIN
+        )
+        self._update_suspect(now, best.build if is_conclusive else 0)
+        if is_conclusive and now - self.suspect.since >= MIN_SUSPECT_SECONDS:
             return Finding(
                 Cause.BUILD,
                 best.build,
@@ -97,7 +99,7 @@
                 figures=figures,
                 attempts=attempts,
             )
-        if best.cause is not Cause.BUILD and margin >= LIKELY_MARGIN:
+        if best.cause is not Cause.BUILD and margin >= CAUSE_BIC_MARGIN:
             return Finding(best.cause, confidence=confidence, figures=figures, attempts=attempts)
         return Finding(
             Cause.UNKNOWN,
@@ -108,7 +110,7 @@
             attempts=attempts,
         )
 
-    def _note_suspect(self, now: float, build: int) -> None:
+    def _update_suspect(self, now: float, build: int) -> None:
         if not build or self.suspect.build != build:
             self.suspect = Suspect(build, now)
 
--- a/gullmount/decisions/attribution/latency_series.py
+++ b/gullmount/decisions/attribution/latency_series.py
@@ -10,7 +10,7 @@
 
 from gullmount.decisions.attribution.comparison import LatencySums
 from gullmount.decisions.attribution.evidence import MAX_SLICES, SLICE_SECONDS, Evidence, Sample
-from gullmount.decisions.attribution.slowdown_models import LatencySeries, Numbers
+from gullmount.decisions.attribution.slowdown_models import FloatArray, LatencySeries
 
 INCOMPLETE_SLICES = 1  # newest slices left out: the peers' samples of them haven't arrived
 SHARE_SLICES = 2  # over which a share is averaged: its effect on others takes that long to show
@@ -27,12 +27,12 @@
 class _SliceLatencies(NamedTuple):
     """Number and sum of the latencies in each slice, and the squares of all."""
 
-    counts: Numbers
-    totals: Numbers
+    counts: FloatArray
+    totals: FloatArray
     squares: float
 
 
-def observe_series(now: float, evidence: Evidence, not_serving: Collection[int]) -> ObservedSeries:
+def observe_series(now: float, evidence: Evidence, unreleased_builds: Collection[int]) -> ObservedSeries:
     """Return the series over all complete slices; latencies and loads are those of the builds that serve."""
     newest = int(now / SLICE_SECONDS) - INCOMPLETE_SLICES
     samples = [
@@ -41,22 +41,26 @@
     positions = _positions(samples)
     attempts = _attempts_in_slices(samples, positions)
     builds = sorted({key.build for _, key, _ in samples})
-    serving = [sample for sample in samples if sample.key.build not in not_serving and sample.sums.timed]
-    latencies = _slice_latencies(serving, positions)
-    known = latencies.counts >= MIN_SLICE_LATENCIES
-    means = latencies.totals[known] / latencies.counts[known]
+    released_samples = [
+        sample for sample in samples if sample.key.build not in unreleased_builds and sample.sums.timed
+    ]
+    latencies = _slice_latencies(released_samples, positions)
+    has_mean = latencies.counts >= MIN_SLICE_LATENCIES
+    means = latencies.totals[has_mean] / latencies.counts[has_mean]
     mean_square = latencies.squares / max(1.0, latencies.counts.sum())
-    variance = max(0.0, mean_square - float(np.var(means) if known.any() else 0.0))
-    loads = latencies.counts / np.maximum(1, _servers_in_slices(serving, positions))
+    variance = max(0.0, mean_square - float(np.var(means) if has_mean.any() else 0.0))
+    loads = latencies.counts / np.maximum(1, _servers_in_slices(released_samples, positions))
     shares = {
         build: trailing_mean(
-            _attempts_in_slices([one for one in samples if one.key.build == build], positions)
+            _attempts_in_slices(
+                [build_sample for build_sample in samples if build_sample.key.build == build], positions
+            )
             / np.maximum(attempts, 1)
-        )[known]
+        )[has_mean]
         for build in builds
-        if build in not_serving or build == builds[-1]
+        if build in unreleased_builds or build == builds[-1]
     }
-    series = LatencySeries(means, variance / latencies.counts[known], loads[known], shares)
+    series = LatencySeries(means, variance / latencies.counts[has_mean], loads[has_mean], shares)
     return ObservedSeries(series, int(attempts.sum()))
 
 
@@ -66,23 +70,23 @@
     return {slice_number: position for position, slice_number in enumerate(slices)}
 
 
-def _attempts_in_slices(samples: Sequence[Sample], positions: dict[int, int]) -> Numbers:
+def _attempts_in_slices(samples: Sequence[Sample], positions: dict[int, int]) -> FloatArray:
     attempts = [0] * len(positions)
     for slice_number, _, sums in samples:
         attempts[positions[slice_number]] += sums.attempts
     return np.array(attempts, dtype=np.float64)
 
 
-def _slice_latencies(serving: Sequence[Sample], positions: dict[int, int]) -> _SliceLatencies:
+def _slice_latencies(released_samples: Sequence[Sample], positions: dict[int, int]) -> _SliceLatencies:
     """Sum the latencies above the mean of their route, in octaves."""
     by_route: dict[str, LatencySums] = defaultdict(LatencySums)
-    for _, key, sums in serving:
+    for _, key, sums in released_samples:
         by_route[key.route].count += sums.timed
         by_route[key.route].total += sums.total
     means = {route: route_sums.mean for route, route_sums in by_route.items()}
     slices = [LatencySums() for _ in positions]
     squares = 0.0
-    for slice_number, key, sums in serving:
+    for slice_number, key, sums in released_samples:
         mean = means[key.route]
         slice_sums = slices[positions[slice_number]]
         slice_sums.count += sums.timed
@@ -93,17 +97,17 @@
     return _SliceLatencies(counts, totals, squares)
 
 
-def _servers_in_slices(serving: Sequence[Sample], positions: dict[int, int]) -> list[int]:
+def _servers_in_slices(released_samples: Sequence[Sample], positions: dict[int, int]) -> list[int]:
     servers: list[set[str]] = [set() for _ in positions]
-    for slice_number, key, _ in serving:
+    for slice_number, key, _ in released_samples:
         servers[positions[slice_number]].add(key.server_id)
-    return [len(names) for names in servers]
+    return [len(server_ids) for server_ids in servers]
 
 
-def trailing_mean(values: Numbers) -> Numbers:
+def trailing_mean(values: FloatArray) -> FloatArray:
     """Return the mean of each value and those before it, `SHARE_SLICES` in all; the first stands for none."""
     sums = values.copy()
-    for back in range(1, SHARE_SLICES):
-        sums[back:] += values[:-back]
-        sums[:back] += values[:back]
+    for offset in range(1, SHARE_SLICES):
+        sums[offset:] += values[:-offset]
+        sums[:offset] += values[:offset]
     return sums / SHARE_SLICES
--- a/gullmount/decisions/attribution/slowdown_models.py
+++ b/gullmount/decisions/attribution/slowdown_models.py
@@ -17,8 +17,12 @@
 
 from gullmount.decisions.attribution.findings import Cause
 
-MEAN_DEVIATION = 0.16  # octaves by which a slice's mean latency varies beyond chance: loads, queues
-STRENGTHS = tuple(0.25 * 1.25**step for step in range(20))  # slowdown per whole share, tried in turn: to 17
+SLICE_MEAN_DEVIATION_OCTAVES = (
+    0.16  # octaves by which a slice's mean latency varies beyond chance: loads, queues
+)
+BUILD_STRENGTHS = tuple(
+    0.25 * 1.25**step for step in range(20)
+)  # slowdown per whole share, tried in turn: to 17
 RECENT_SLICES = 3  # over which the present rise is taken
 MIN_STEP_SLICES = 2  # of a step that is over
 BUILD_PARAMETERS = 2.0  # a build's strength, and that there is one
@@ -27,7 +31,7 @@
 MIN_SHARE_RANGE = 0.03  # of all attempts, that a share must have spanned to explain anything
 MIN_SPREAD = 1e-12  # keeps a step that covers every slice from dividing by zero
 
-Numbers = NDArray[np.float64]
+FloatArray = NDArray[np.float64]
 
 
 @dataclass(frozen=True)
@@ -41,10 +45,10 @@
         shares: Share of all attempts that a build got, by build.
     """
 
-    means: Numbers
-    variances: Numbers
-    loads: Numbers
-    shares: Mapping[int, Numbers]
+    means: FloatArray
+    variances: FloatArray
+    loads: FloatArray
+    shares: Mapping[int, FloatArray]
 
 
 class Fit(NamedTuple):
@@ -102,10 +106,10 @@
     """Fit all models to the series and rank them."""
     means = series.means
     count = len(means)
-    weights = 1 / (series.variances + MEAN_DEVIATION**2)
+    weights = 1 / (series.variances + SLICE_MEAN_DEVIATION_OCTAVES**2)
     parameter_cost = log(max(2, count))
-    nothing = fit_line(means, weights, np.zeros(count))
-    ranked = [_ScoredModel(nothing.residual, Cause.NOTHING, 0, 0.0)]
+    no_slowdown = fit_line(means, weights, np.zeros(count))
+    ranked = [_ScoredModel(no_slowdown.residual, Cause.NOTHING, 0, 0.0)]
     for build, share in sorted(series.shares.items()):
         if share.max() - share.min() >= MIN_SHARE_RANGE:
             fit = fit_share(means, weights, share)
@@ -117,60 +121,60 @@
     ranked.append(_ScoredModel(fit.residual + STEP_PARAMETERS * parameter_cost, Cause.SHARED, 0, fit.rise))
     ranked.sort(key=lambda model: model.score)
     best = ranked[0]
-    models = [Model(one.cause, one.build, one.score - best.score) for one in ranked]
+    models = [Model(scored.cause, scored.build, scored.score - best.score) for scored in ranked]
     return Explanation(models, best.rise)
 
 
-def fit_line(means: Numbers, weights: Numbers, shape: Numbers) -> LineFit:
+def fit_line(means: FloatArray, weights: FloatArray, regressor: FloatArray) -> LineFit:
     """Fit a level and the shape with a slope that isn't negative."""
     total = weights.sum()
-    mean, centre = (weights * means).sum() / total, (weights * shape).sum() / total
-    spread = (weights * (shape - centre) ** 2).sum()
+    mean, regressor_mean = (weights * means).sum() / total, (weights * regressor).sum() / total
+    spread = (weights * (regressor - regressor_mean) ** 2).sum()
     slope = 0.0
     if spread > 0:
-        slope = max(0.0, float((weights * (shape - centre) * (means - mean)).sum() / spread))
-    level = float(mean - slope * centre)
-    return LineFit(float((weights * (means - level - slope * shape) ** 2).sum()), slope)
+        slope = max(0.0, float((weights * (regressor - regressor_mean) * (means - mean)).sum() / spread))
+    intercept = float(mean - slope * regressor_mean)
+    return LineFit(float((weights * (means - intercept - slope * regressor) ** 2).sum()), slope)
 
 
-def fit_load(means: Numbers, weights: Numbers, loads: Numbers) -> Fit:
+def fit_load(means: FloatArray, weights: FloatArray, loads: FloatArray) -> Fit:
     """Fit latencies that follow the load, both in octaves."""
     load = np.log2(np.maximum(loads, 1.0))
     line = fit_line(means, weights, load)
     return Fit(line.residual, line.slope * float(load[-RECENT_SLICES:].mean() - np.median(load)))
 
 
-def fit_share(means: Numbers, weights: Numbers, share: Numbers) -> Fit:
+def fit_share(means: FloatArray, weights: FloatArray, share: FloatArray) -> Fit:
     """Fit latencies that follow 1 + strength x share; of all strengths the best."""
     best = Fit(float("inf"), 0.0)
-    for strength in STRENGTHS:
-        shape = np.log2(1 + strength * share)
-        level = float((weights * (means - shape)).sum() / weights.sum())
-        residual = float((weights * (means - level - shape) ** 2).sum())
+    for strength in BUILD_STRENGTHS:
+        regressor = np.log2(1 + strength * share)
+        intercept = float((weights * (means - regressor)).sum() / weights.sum())
+        residual = float((weights * (means - intercept - regressor) ** 2).sum())
         if residual < best.residual:
-            best = Fit(residual, float(shape[-RECENT_SLICES:].mean()))
+            best = Fit(residual, float(regressor[-RECENT_SLICES:].mean()))
     return best
 
 
-def fit_step(means: Numbers, weights: Numbers) -> Fit:
+def fit_step(means: FloatArray, weights: FloatArray) -> Fit:
     """Fit latencies that rose at some slice and may have fallen again; of all such steps the best.
 
     All steps are fitted at once by running sums: a step explains covariance squared over spread.
     """
     count = len(means)
-    centred = means - (weights * means).sum() / weights.sum()
+    deviations = means - (weights * means).sum() / weights.sum()
     total = weights.sum()
     running_weights = np.concatenate(([0.0], np.cumsum(weights)))
-    running_sums = np.concatenate(([0.0], np.cumsum(weights * centred)))
-    begin, end = np.triu_indices(count + 1, 1)
-    is_over = (end - begin >= MIN_STEP_SLICES) & (end < count - 1)
-    allowed = (begin > 0) & ((end == count) | is_over)
-    begin, end = begin[allowed], end[allowed]
-    inside = running_weights[end] - running_weights[begin]
-    covariance = np.maximum(0.0, running_sums[end] - running_sums[begin])
+    running_sums = np.concatenate(([0.0], np.cumsum(weights * deviations)))
+    start, end = np.triu_indices(count + 1, 1)
+    has_ended = (end - start >= MIN_STEP_SLICES) & (end < count - 1)
+    allowed = (start > 0) & ((end == count) | has_ended)
+    start, end = start[allowed], end[allowed]
+    inside = running_weights[end] - running_weights[start]
+    covariance = np.maximum(0.0, running_sums[end] - running_sums[start])
     spread = np.maximum(inside * (1 - inside / total), MIN_SPREAD)
-    gain = covariance**2 / spread
-    best = int(np.argmax(gain))
-    residual = float((weights * centred**2).sum() - gain[best])
+    residual_reduction = covariance**2 / spread
+    best = int(np.argmax(residual_reduction))
+    residual = float((weights * deviations**2).sum() - residual_reduction[best])
     rise = float(covariance[best] / spread[best]) if end[best] == count else 0.0
     return Fit(residual, rise)
--- a/gullmount/decisions/attribution/transitions.py
+++ b/gullmount/decisions/attribution/transitions.py
@@ -14,7 +14,7 @@
 
 PROMOTION_SPACING_SECONDS = 2.5  # after one candidate's change before another is promoted
 BLAMABLE_AFTER_RELEASE_SECONDS = 8.0  # only when released a build carries all traffic
-ROLLBACK_AFTERMATH_SECONDS = 8.0  # until the queues that a rolled-back build caused have drained
+ROLLBACK_SETTLING_SECONDS = 8.0  # until the queues that a rolled-back build caused have drained
 
 
 class Transition(NamedTuple):
@@ -34,27 +34,37 @@
     def record(self, now: float, candidates: Sequence[CandidateView]) -> None:
         """Note what has changed, and forget the builds that are no candidates any more."""
         for candidate in candidates:
-            known = self.by_build.get(candidate.build, Transition(-1, ReleasePhase.RELEASED, 0.0))
-            if (known.stage, known.phase) != (candidate.stage, candidate.phase):
+            last_transition = self.by_build.get(candidate.build, Transition(-1, ReleasePhase.RELEASED, 0.0))
+            if (last_transition.stage, last_transition.phase) != (candidate.stage, candidate.phase):
                 self.by_build[candidate.build] = Transition(candidate.stage, candidate.phase, now)
-        gone = self.by_build.keys() - {candidate.build for candidate in candidates}
-        for build in gone:
+        removed_builds = self.by_build.keys() - {candidate.build for candidate in candidates}
+        for build in removed_builds:
             del self.by_build[build]
 
     def may_be_blamed(self, candidate: CandidateView, now: float) -> bool:
         """Whether the build is a candidate, or was released a short time ago."""
-        known = self.by_build[candidate.build]
-        if known.phase is ReleasePhase.CANDIDATE:
+        last_transition = self.by_build[candidate.build]
+        if last_transition.phase is ReleasePhase.CANDIDATE:
             return True
-        newly_released = candidate.released_at > 0 and now - known.at < BLAMABLE_AFTER_RELEASE_SECONDS
-        return known.phase is ReleasePhase.RELEASED and newly_released
+        newly_released = (
+            candidate.released_at > 0 and now - last_transition.at < BLAMABLE_AFTER_RELEASE_SECONDS
+        )
+        return last_transition.phase is ReleasePhase.RELEASED and newly_released
 
     def others_are_settled(self, build: int, now: float) -> bool:
         """Whether no other candidate changed so lately that effects couldn't be told apart."""
-        others = [known.at for at_build, known in self.by_build.items() if at_build != build]
-        return all(now - at >= PROMOTION_SPACING_SECONDS for at in others)
+        change_times = [
+            last_transition.at
+            for other_build, last_transition in self.by_build.items()
+            if other_build != build
+        ]
+        return all(now - at >= PROMOTION_SPACING_SECONDS for at in change_times)
 
     def rollbacks_are_settled(self, now: float) -> bool:
         """Whether no rolled-back build can be the cause of a slowdown any more."""
-        ends = [known.at for known in self.by_build.values() if known.phase in ROLLBACK_PHASES]
-        return all(now - at >= ROLLBACK_AFTERMATH_SECONDS for at in ends)
+        rollback_times = [
+            last_transition.at
+            for last_transition in self.by_build.values()
+            if last_transition.phase in ROLLBACK_PHASES
+        ]
+        return all(now - at >= ROLLBACK_SETTLING_SECONDS for at in rollback_times)
--- a/gullmount/decisions/attribution/views.py
+++ b/gullmount/decisions/attribution/views.py
@@ -43,6 +43,6 @@
 AnyCandidate = TypeVar("AnyCandidate", bound=CandidateView)
 
 
-def builds_not_serving(candidates: Iterable[CandidateView]) -> set[int]:
+def find_unreleased_builds(candidates: Iterable[CandidateView]) -> set[int]:
     """Return the builds that aren't released: still candidates, or rolled back."""
     return {candidate.build for candidate in candidates if candidate.phase is not ReleasePhase.RELEASED}
--- a/tests/decisions/attribution/test_attribution_scenarios.py
+++ b/tests/decisions/attribution/test_attribution_scenarios.py
@@ -31,35 +31,35 @@
 )
 
 
-def played(case: str, seed: int = 2, **changes: Any) -> tuple[AttributionOutcome, list[str]]:
-    terms = read(DAYS / f"{case}.yaml", ScenarioConfig).model_copy(update=changes)
-    about, lines = run_scenario(terms, seed, True, "127.98")
+def run_case(case: str, seed: int = 2, **changes: Any) -> tuple[AttributionOutcome, list[str]]:
+    scenario = read(DAYS / f"{case}.yaml", ScenarioConfig).model_copy(update=changes)
+    about, lines = run_scenario(scenario, seed, True, "127.98")
     events = [msgspec.json.decode(line) for line in lines.splitlines()]
     return attribution_outcome(about, events), breaches(check(about, events))
 
 
 @pytest.mark.parametrize("case", CASES)
 def test_attribution_is_right_and_only_degraded_builds_are_rolled_back(case: str) -> None:
-    said, broken = played(case)
-    assert broken == []
-    assert said.correctness == "right"
-    assert sorted(said.sent_back) == said.bad
+    outcome, violations = run_case(case)
+    assert violations == []
+    assert outcome.correctness == "right"
+    assert sorted(outcome.sent_back) == outcome.bad
 
 
-def test_without_margin_and_waiting_a_dependency_is_blamed_on_a_build(
+def test_without_bic_margin_and_suspect_time_a_dependency_slowdown_is_blamed_on_a_build(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("gullmount.decisions.attribution.general_slowdown.SURE_MARGIN", 0.0)
-    monkeypatch.setattr("gullmount.decisions.attribution.general_slowdown.MIN_SUSPECT_TIME", 0.0)
+    monkeypatch.setattr("gullmount.decisions.attribution.general_slowdown.BLAME_BIC_MARGIN", 0.0)
+    monkeypatch.setattr("gullmount.decisions.attribution.general_slowdown.MIN_SUSPECT_SECONDS", 0.0)
     monkeypatch.setattr("gullmount.decisions.attribution.slowdown_models.STEP_PARAMETERS", 50.0)
-    said, _ = played("shared-dependency")
-    assert said.correctness == "wrong"
+    outcome, _ = run_case("shared-dependency")
+    assert outcome.correctness == "wrong"
 
 
 def test_without_gossip_a_degraded_build_is_rolled_back_later(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    together, _ = played("older-bad")
+    with_gossip, _ = run_case("older-bad")
     monkeypatch.setattr(Attribution, "receive_samples", lambda self, now, rows: None)
-    apart, _ = played("older-bad")
-    assert together.sent_back[2] + 3.0 < apart.sent_back.get(2, 99.0)
+    without_gossip, _ = run_case("older-bad")
+    assert with_gossip.sent_back[2] + 3.0 < without_gossip.sent_back.get(2, 99.0)
--- a/tests/decisions/attribution/test_evaluators.py
+++ b/tests/decisions/attribution/test_evaluators.py
@@ -13,13 +13,13 @@
 
 
 @pytest.mark.parametrize(
-    ("number", "count", "gossip", "evaluates"),
+    ("instance_number", "instance_count", "gossip_enabled", "is_evaluator"),
     [(0, 20, True, True), (MAX_EVALUATORS, 20, True, False), (19, 20, False, True), (0, 1, True, True)],
 )
 def test_first_instances_evaluate_and_without_gossip_all_do(
-    number: int, count: int, gossip: bool, evaluates: bool
+    instance_number: int, instance_count: int, gossip_enabled: bool, is_evaluator: bool
 ) -> None:
-    assert Evaluators(number, count, gossip).includes_this_instance is evaluates
+    assert Evaluators(instance_number, instance_count, gossip_enabled).includes_this_instance is is_evaluator
 
 
 def test_assessment_counts_for_its_lifetime() -> None:
@@ -29,7 +29,7 @@
     assert evaluators.assessments_of_all(10.0 + ASSESSMENT_LIFETIME_SECONDS) == []
 
 
-def test_instances_with_a_lower_number_go_first() -> None:
+def test_preceding_assessments_are_those_of_instances_with_a_lower_number() -> None:
     evaluators = Evaluators(1, 4, True)
     evaluators.receive(10.0, 0, assessment())
     assert evaluators.preceding_assessments(10.0) == [assessment()]
@@ -38,7 +38,7 @@
     assert evaluators.preceding_assessments(10.0) == []
 
 
-def test_leader_replaces_the_first_instances() -> None:
+def test_leader_replaces_the_first_instances_as_evaluator() -> None:
     evaluators = Evaluators(0, 4, True)
     assert evaluators.set_leader(2, 5) and evaluators.has_leader
     assert not evaluators.includes_this_instance
--- a/tests/decisions/attribution/test_latency_series.py
+++ b/tests/decisions/attribution/test_latency_series.py
@@ -41,5 +41,5 @@
     assert len(series.means) == 4
 
 
-def test_trailing_mean_takes_the_value_before_and_at_the_start_the_first() -> None:
+def test_trailing_mean_averages_with_the_previous_value_and_repeats_the_first() -> None:
     assert trailing_mean(np.array([1.0, 3.0, 5.0])).tolist() == [1.0, 2.0, 4.0]
--- a/tests/decisions/attribution/test_transitions.py
+++ b/tests/decisions/attribution/test_transitions.py
@@ -5,7 +5,7 @@
 from gullmount.decisions.attribution.transitions import (
     BLAMABLE_AFTER_RELEASE_SECONDS,
     PROMOTION_SPACING_SECONDS,
-    ROLLBACK_AFTERMATH_SECONDS,
+    ROLLBACK_SETTLING_SECONDS,
     Transitions,
 )
 from gullmount.decisions.model import ReleasePhase
@@ -43,6 +43,6 @@
     transitions, candidate = Transitions(), Candidate(2, 0, ReleasePhase.ROLLING_BACK, 0.2)
     transitions.record(10.0, [candidate])
     assert not transitions.rollbacks_are_settled(10.0)
-    assert transitions.rollbacks_are_settled(10.0 + ROLLBACK_AFTERMATH_SECONDS)
+    assert transitions.rollbacks_are_settled(10.0 + ROLLBACK_SETTLING_SECONDS)
     transitions.record(11.0, [])
     assert transitions.rollbacks_are_settled(11.0) and not transitions.by_build
--- a/tests/support/attribution_scene.py
+++ b/tests/support/attribution_scene.py
@@ -25,24 +25,29 @@
 ZONES = "abc"
 
 
-def make_server(name: str, build: int, started: float = 0.0) -> Server:
+def make_server(name: str, build: int, started_at: float = 0.0) -> Server:
     """A ready server; its zone is the first letter of its name."""
-    return Server(Endpoint(name, name[0], 0, build, EndpointState.READY, 1.0, started), 0.5, 0.0)
+    return Server(Endpoint(name, name[0], 0, build, EndpointState.READY, 1.0, started_at), 0.5, 0.0)
 
 
-class Scene:
+class TrafficSimulation:
     """Instances that see traffic drawn from a seed; `slower` and `fails` are asked for each attempt."""
 
-    def __init__(self, instances: int = 1, rate: float = 60.0, one_way: bool = False, seed: int = 1) -> None:
+    def __init__(
+        self, instance_count: int = 1, attempts_per_second: float = 60.0, one_way: bool = False, seed: int = 1
+    ) -> None:
         self.random = random.Random(seed)
         self.now = 1000.0
-        self.rate = rate  # attempts a second
+        self.attempts_per_second = attempts_per_second  # attempts a second
         self.attributions = [
-            Attribution(number, instances, instances > 1, one_way) for number in range(instances)
+            Attribution(number, instance_count, instance_count > 1, one_way)
+            for number in range(instance_count)
         ]
         for number, attribution in enumerate(self.attributions):
             attribution.connect_peers(self.send_samples, partial(self.send_assessment, number))
-        self.cut_off: set[int] = set()  # instances that receive nothing and whose assessments are lost
+        self.isolated_instances: set[int] = (
+            set()
+        )  # instances that receive nothing and whose assessments are lost
         self.servers = [make_server(f"{ZONES[number % 3]}{number}", 1) for number in range(12)]
         self.servers += [make_server(f"{ZONES[number % 3]}x{number}", 2) for number in range(3)]
         self.servers += [make_server(f"{ZONES[number % 3]}y{number}", 3) for number in range(3)]
@@ -51,40 +56,40 @@
             Candidate(3, 0, ReleasePhase.CANDIDATE, 0.2),
         ]
         self.shares = {2: 0.15, 3: 0.15}
-        self.slower: Callable[[Server, float], float] = lambda server, now: 1.0
-        self.fails: Callable[[Server, float], float] = lambda server, now: 0.0
+        self.latency_factor: Callable[[Server, float], float] = lambda server, now: 1.0
+        self.failure_probability: Callable[[Server, float], float] = lambda server, now: 0.0
         self.votes: list[tuple[float, int, Vote]] = []
 
     def send_samples(self, peer: int, rows: list[SampleRow]) -> None:
-        if peer not in self.cut_off:
+        if peer not in self.isolated_instances:
             self.attributions[peer].receive_samples(self.now, rows)
 
     def send_assessment(self, sender: int, peer: int, assessment: Assessment) -> None:
-        if sender not in self.cut_off and peer not in self.cut_off:
+        if sender not in self.isolated_instances and peer not in self.isolated_instances:
             self.attributions[peer].receive_assessment(self.now, sender, assessment)
 
-    def run(self, span: float, watched: int = 0) -> list[CandidateVote[Candidate]]:
+    def run(self, duration: float, watched_instance: int = 0) -> list[CandidateVote[Candidate]]:
         """Let traffic flow for so many seconds; return what the watched instance votes at the end."""
         last_votes: list[CandidateVote[Candidate]] = []
-        for _ in range(round(span / 0.25)):
+        for _ in range(round(duration / 0.25)):
             self.now += 0.25
-            for _ in range(round(self.rate * 0.25)):
-                self.attempt()
+            for _ in range(round(self.attempts_per_second * 0.25)):
+                self.simulate_attempt()
             for attribution in self.attributions:
                 votes = attribution.update(self.now, self.candidates, self.servers)
-                if attribution.instance_number == watched:
+                if attribution.instance_number == watched_instance:
                     last_votes = votes
                     self.votes += [(self.now, candidate.build, vote) for candidate, vote, _ in votes]
                     for candidate, vote, _ in votes:
                         candidate.ballot.last = CastVote(vote, conclusive=True)
         return last_votes
 
-    def attempt(self) -> None:
-        draw = self.random.random()
-        build = 2 if draw < self.shares[2] else 3 if draw > 1 - self.shares[3] else 1
+    def simulate_attempt(self) -> None:
+        build_draw = self.random.random()
+        build = 2 if build_draw < self.shares[2] else 3 if build_draw > 1 - self.shares[3] else 1
         server = self.random.choice([one for one in self.servers if one.build == build])
-        failed = self.random.random() < self.fails(server, self.now)
-        latency = 0.15 * self.random.lognormvariate(0.0, 0.6) * self.slower(server, self.now)
+        failed = self.random.random() < self.failure_probability(server, self.now)
+        latency = 0.15 * self.random.lognormvariate(0.0, 0.6) * self.latency_factor(server, self.now)
         attribution = self.random.choice(self.attributions)
         attribution.record_attempt(self.now, server, ROUTE, latency, 1.0, failed)
 
@@ -92,8 +97,8 @@
         return {(build, vote) for _, build, vote in self.votes}
 
 
-def scene_with_leader(leader: int | None = 2, token: int = 5) -> Scene:
-    scene = Scene(instances=4)
-    for attribution in scene.attributions:
-        attribution.set_leader(scene.now, leader, token)
-    return scene
+def simulation_with_leader(leader: int | None = 2, token: int = 5) -> TrafficSimulation:
+    simulation = TrafficSimulation(instance_count=4)
+    for attribution in simulation.attributions:
+        attribution.set_leader(simulation.now, leader, token)
+    return simulation
