--- a/gullmount/decisions/attribution/__init__.py
+++ b/gullmount/decisions/attribution/__init__.py
@@ -1,8 +1,9 @@
-"""Attribution: which of two candidate builds is to blame when service degrades, or that neither is.
+"""Attributes a degradation of service to one of several candidate builds, or to none of them.
 
-The rules of `gullmount.decisions.attribution` do no I/O, read no clock and draw no random numbers. An
-instance records its attempts here, receives the samples of its peers, and gets the votes to cast. With one
-candidate at a time the package isn't used; canary analysis decides then.
+An instance records its attempts here, receives the samples of its peers, and gets the votes to cast on each
+candidate. Where only one candidate may exist at a time, canary analysis decides and this package is not used.
+
+The package does no I/O, reads no clock and draws no random numbers.
 """
 
 from __future__ import annotations
@@ -20,13 +21,14 @@
 
 
 def attribution_for(settings: InstanceSettings) -> Attribution | None:
-    """Build the attribution of an instance; None where only one candidate may stand at a time.
+    """Create the attribution of an instance, or return None if only one candidate may exist at a time.
 
-    It needs numpy, which takes a third of a start's time and memory: it is loaded only here.
+    Attribution needs numpy, whose import takes a third of the time and memory of a start. The import is
+    therefore deferred to this function.
     """
     if settings.release.concurrent_candidates <= 1:
         return None
-    from gullmount.decisions.attribution.attribution import Attribution  # noqa: PLC0415 (numpy, see above)
+    from gullmount.decisions.attribution.attribution import Attribution  # noqa: PLC0415 (imports numpy)
 
     return Attribution(
         settings.instance_number,
--- a/gullmount/decisions/attribution/attribution.py
+++ b/gullmount/decisions/attribution/attribution.py
@@ -1,7 +1,7 @@
-"""The attribution of one instance: evidence and assessments come in, votes and gossip go out.
+"""Combines evidence and assessments into the votes of one instance.
 
-Each instance sends its samples to the evaluators; their assessments come back, and all instances vote by
-them. An instance that receives none votes by what it saw itself.
+Each instance sends its samples to the evaluators and votes by the assessments that they send back. An
+instance that receives no assessment votes by its own evidence.
 """
 
 from __future__ import annotations
@@ -19,16 +19,20 @@
 from gullmount.decisions.model import Route
 
 ASSESSMENT_INTERVAL_SECONDS = 0.5
-MIN_SLOW_START_WEIGHT = 0.7  # for a latency to count: below it the correction is larger than what it corrects
+
+# Latencies are multiplied by the slow-start weight. Those with a lower weight are ignored, because the
+# correction would be larger than the value that it corrects.
+MIN_SLOW_START_WEIGHT = 0.7
 
 
 class Attribution:
-    """Decides between two candidates for one instance; lives as long as the instance.
+    """Decides how one instance votes on the candidates; lives as long as the instance.
 
     Attributes:
-        assessment: The newest assessment of this instance itself.
-        vote_token: Token of the assessment that the newest votes rest on; 0 for the instance's own view.
-        on_finding: Called with each finding that wasn't among those of the evaluation before.
+        assessment: The newest assessment by this instance itself.
+        vote_token: Fencing token of the assessments behind the newest votes; 0 if the instance votes by its
+            own evidence.
+        on_finding: Called with each finding that the previous evaluation did not have.
     """
 
     def __init__(
@@ -49,7 +53,7 @@
         self._evaluated_at = float("-inf")
 
     def connect_peers(self, send_samples: SendSamples, send_assessment: SendAssessment) -> None:
-        """Set what sends to a peer; until then nothing is sent."""
+        """Set the functions that send to a peer; nothing is sent before this call."""
         self.gossip.send_samples = send_samples
         self.gossip.send_assessment = send_assessment
 
@@ -62,7 +66,16 @@
         slow_start_weight: float,
         failed: bool,
     ) -> None:
-        """Record an attempt that its server answered or left without an answer; `latency` in seconds."""
+        """Record an attempt that its server responded to or left without a response.
+
+        Args:
+            now: Time on the clock of the instance, in seconds.
+            server: The server that the attempt was sent to.
+            route: The route of the request.
+            latency: Latency of the attempt, in seconds.
+            slow_start_weight: Slow-start weight of the server when the attempt was sent.
+            failed: Whether the attempt failed. The latency of a failed attempt is ignored.
+        """
         key = SampleKey(server.id, server.build, server.zone, route.name)
         relative_latency = None
         if slow_start_weight >= MIN_SLOW_START_WEIGHT and not failed:
@@ -71,35 +84,39 @@
         self.gossip.record(now, key, relative_latency, failed)
 
     def receive_samples(self, now: float, rows: Iterable[SampleRow]) -> None:
-        """Add the samples of a peer to the evidence."""
+        """Add samples received from a peer to the evidence."""
         self.evidence.merge(now, rows)
 
     def receive_assessment(self, now: float, sender: int, assessment: Assessment) -> None:
-        """Keep the assessment of a peer if it counts."""
+        """Keep the assessment if its sender is an evaluator and its token is the current one."""
         self.evaluators.receive(now, sender, assessment)
 
     def set_leader(self, now: float, leader: int | None, token: int, reduced_build: int = 0) -> None:
-        """Make one instance evaluate for all, or none for now; an older token than the last is ignored.
-
-        `reduced_build` is the build whose traffic an earlier leader set out to reduce; the new leader takes
-        that up.
+        """Make one instance, or none for now, the only evaluator. Calls with an older token are ignored.
+
+        Args:
+            now: Time on the clock of the instance, in seconds.
+            leader: Number of the instance that evaluates for all; None for no instance.
+            token: Fencing token of the appointment.
+            reduced_build: The build whose traffic an earlier leader requested to reduce; 0 for none. The new
+                leader continues that reduction.
         """
         is_new = self.evaluators.set_leader(leader, token)
         if is_new and leader == self.instance_number and reduced_build:
             self.begin_traffic_reduction(now, reduced_build)
 
     def set_reduction_request_callback(self, request_reduction: RequestReduction) -> None:
-        """Set what the leader calls before it reduces a build's traffic, and with 0 after it."""
+        """Set the callback that takes a build to request its reduction, or 0 to report the end of one."""
         self.traffic_reduction.request_reduction = request_reduction
 
     def begin_traffic_reduction(self, now: float, build: int) -> None:
-        """Begin the reduction that was requested, now that a successor can find it."""
+        """Begin the requested reduction, which is now stored where the next leader finds it."""
         self.traffic_reduction.begin(now, build)
 
     def update(
         self, now: float, candidates: Sequence[AnyCandidate], servers: Iterable[ServerView]
     ) -> list[CandidateVote[AnyCandidate]]:
-        """Evaluate and gossip where it is due, set the candidates' limits, and return the votes to cast."""
+        """Evaluate and send gossip if due, set the limits of the candidates, and return the votes to cast."""
         self.analyzer.transitions.record(now, candidates)
         is_evaluator = self.evaluators.includes_this_instance
         assessments = self.evaluators.assessments_of_all(now)
@@ -116,7 +133,7 @@
     def evaluate(
         self, now: float, candidates: Sequence[CandidateView], servers: Sequence[ServerView]
     ) -> None:
-        """Renew the assessment from all evidence and report the findings that are new."""
+        """Replace the assessment with one of all evidence, and report the findings that are new."""
         evaluation = self.analyzer.evaluate(
             now,
             self.evidence,
@@ -138,9 +155,9 @@
     def build_to_reduce(
         self, now: float, slowdown: Finding, blamed_builds: Iterable[int], can_absorb_traffic: bool
     ) -> int:
-        """Return the build whose traffic is to be reduced, 0 for none.
+        """Return the build whose traffic to reduce, or 0 for none.
 
-        The evaluator with the lowest number decides: two shares that are reduced at once couldn't be told
+        The evaluator with the lowest number decides. The effects of two reductions at once could not be told
         apart.
         """
         preceding = self.evaluators.preceding_assessments(now)
--- a/gullmount/decisions/attribution/candidate_checks.py
+++ b/gullmount/decisions/attribution/candidate_checks.py
@@ -1,7 +1,7 @@
-"""What is held against one build beside the baseline, and whether a candidate was seen well enough.
+"""Checks one build against its baseline, and whether a candidate has enough evidence for a promotion.
 
-A build is blamed only where chance is as good as excluded over all evaluations and tests of a release. Far
-less is enough to hold it at its stage.
+A build is blamed, and so rolled back, only if a difference by chance is very unlikely over all evaluations
+and tests of a release. Much weaker evidence is enough to hold a candidate at its stage.
 """
 
 from __future__ import annotations
@@ -22,28 +22,55 @@
 from gullmount.decisions.attribution.findings import Cause, Finding, Symptom
 from gullmount.decisions.attribution.views import CandidateView, ServerView
 
-FALSE_ALARM_PROBABILITY = 0.01  # that healthy builds are blamed in a release, over all evaluations and tests
-INDEPENDENT_EVALUATIONS = 4.0  # of changing evidence, as many as a release has
-TESTS_PER_SEGMENT = 4  # failures and latency, over the long and the short span
-HOLD_SIGNIFICANCE = 0.03  # by chance; below it a build is held, though not blamed
-MIN_FAILURE_EXCESS = 0.02  # of a build's share of failures over the baseline's, for it to be blamed
-MIN_FAILURES = 2  # for a build to be blamed: a single one may be a broken request
-MIN_LATENCY_RATIO = 1.5  # of a build's latency to the baseline's, for it to be blamed
-MIN_BASELINE_ATTEMPTS = 15  # with fewer the other candidate is compared with too
-SETTLING_SECONDS = 3.0  # seconds after the newest server's start before a promotion
-MIN_SUCCESSFUL_ATTEMPTS = 20  # that allow a promotion
-MIN_FAILURE_FREE_ATTEMPTS = 5  # that allow one where none failed, after EXTRA_SETTLING_SECONDS
-EXTRA_SETTLING_SECONDS = 2.0  # seconds
-MAX_UNDETECTED_SLOWDOWN_OCTAVES = 1.1  # octaves; a build that may be slower than that wasn't seen well enough
-ONE_SIDED_95_PERCENT_Z_SCORE = 1.64  # standard deviations
+# Probability that healthy builds are blamed during one release, over all evaluations and tests.
+FALSE_ALARM_PROBABILITY = 0.01
+
+# Number of independent evaluations in one release, between which the evidence changes.
+INDEPENDENT_EVALUATIONS = 4.0
+
+# Failures and latency are each tested over the long and the short span.
+TESTS_PER_SEGMENT = 4
+
+# A build with a lower p-value is held at its stage, even if it is not blamed.
+HOLD_SIGNIFICANCE = 0.03
+
+# A build is blamed for failures only if its failure rate exceeds that of the baseline by more than this.
+MIN_FAILURE_EXCESS = 0.02
+
+# A build with fewer failures than this is not blamed, because a single failure may come from a broken
+# request.
+MIN_FAILURES = 2
+
+# A build is blamed for its latency only if the ratio to the latency of the baseline is larger than this.
+MIN_LATENCY_RATIO = 1.5
+
+# If the released builds have fewer attempts than this, the other candidates join the baseline.
+MIN_BASELINE_ATTEMPTS = 15
+
+# A candidate is promoted no earlier than this after its newest server started.
+SETTLING_SECONDS = 3.0
+
+# Number of successful attempts that allows a promotion.
+MIN_SUCCESSFUL_ATTEMPTS = 20
+
+# Number of attempts that allows a promotion if none of them failed and the servers have been running for
+# EXTRA_SETTLING_SECONDS longer than SETTLING_SECONDS.
+MIN_FAILURE_FREE_ATTEMPTS = 5
+EXTRA_SETTLING_SECONDS = 2.0
+
+# A build is held while the evidence cannot rule out that it is this much slower than the baseline.
+MAX_UNDETECTED_SLOWDOWN_OCTAVES = 1.1
+
+# Distance of a one-sided 95 percent confidence limit from the mean, in standard deviations.
+ONE_SIDED_95_PERCENT_Z_SCORE = 1.64
 
 
 class Baseline(NamedTuple):
-    """Which builds one build is compared with.
+    """The builds that one build is compared with.
 
     Attributes:
-        includes: Whether a build belongs to the baseline.
-        excluded_build: The build left out beside those that don't serve; 0 where it is one of them.
+        includes: Returns whether a build belongs to the baseline.
+        excluded_build: The build left out in addition to the unreleased ones; 0 if it is unreleased itself.
     """
 
     includes: IsBaseline
@@ -51,7 +78,7 @@
 
 
 def choose_baseline(samples: Iterable[Sample], build: int, unreleased_builds: set[int]) -> Baseline:
-    """Choose what the build is compared with: what serves, or all others where too little serves."""
+    """Choose the released builds as the baseline, or all other builds if those have too few attempts."""
     excluded = unreleased_builds | {build}
     attempts = sum(sums.attempts for _, key, sums in samples if key.build not in excluded)
     if attempts < MIN_BASELINE_ATTEMPTS:
@@ -63,7 +90,7 @@
 
 @dataclass(frozen=True)
 class CheckResult:
-    """What is held against a build: findings blame it, a doubt holds it at its stage."""
+    """Result of checking one build: the findings that blame it, and whether to hold it at its stage."""
 
     findings: list[Finding]
     should_hold: bool
@@ -76,15 +103,15 @@
     is_baseline: IsBaseline,
     evaluator_count: int,
 ) -> CheckResult:
-    """Compare a build with its baseline, as a whole and by zone and route.
+    """Compare a build with its baseline, in total and by zone, and its failures by route as well.
 
     Args:
-        samples: The samples, added up over their slices.
-        latencies: The latencies of all servers against the same baseline.
+        samples: The samples, summed over slices.
+        latencies: The latencies of all servers relative to the same baseline.
         build: The build to check.
-        is_baseline: Whether a build belongs to the baseline.
-        evaluator_count: Number of instances that evaluate; all of them together keep to the probability of
-            a false alarm.
+        is_baseline: Returns whether a build belongs to the baseline.
+        evaluator_count: Number of instances that evaluate. FALSE_ALARM_PROBABILITY holds for all of them
+            together, so each test has a lower significance level the more there are.
     """
     own_keys = [key for _, key, _ in samples if key.build == build]
     zones = sorted({key.zone for key in own_keys})
@@ -167,7 +194,11 @@
 
 
 def only_failing_segment(failures: Mapping[str, FailureComparison]) -> str:
-    """Return the one zone or route that fails where the others were seen well enough; empty for none."""
+    """Return the only zone or route that fails, or an empty string if the failures are not limited to one.
+
+    They are not known to be limited to one while the others have so few attempts that they may have no
+    failure by chance.
+    """
     failing_segments = [segment for segment, comparison in failures.items() if comparison.failed]
     if len(failing_segments) != 1 or len(failures) == 1:
         return ""
@@ -198,12 +229,12 @@
 
 
 def is_slowdown_likely(comparison: LatencyComparison) -> bool:
-    """Whether a slowdown is probable enough to hold the build."""
+    """Return whether a slowdown is likely enough to hold the build."""
     return comparison.p_value < HOLD_SIGNIFICANCE and comparison.ratio > sqrt(MIN_LATENCY_RATIO)
 
 
 def rules_out_large_slowdown(comparison: LatencyComparison) -> bool:
-    """Whether enough was seen to exclude that the build is far slower, or nothing is there to compare."""
+    """Return whether a large slowdown of the build is ruled out, or there is no baseline to compare with."""
     if not comparison.baseline_servers:
         return True
     if not comparison.timed:
@@ -215,7 +246,7 @@
 def has_enough_evidence(
     samples: Iterable[Sample], candidate: CandidateView, now: float, servers: Iterable[ServerView]
 ) -> bool:
-    """Whether a candidate's servers are old enough and its attempts enough for a promotion."""
+    """Return whether the servers of a candidate are old enough, and its attempts enough, for a promotion."""
     ages = [server.age(now) for server in servers if server.build == candidate.build and server.ready]
     if not ages or min(ages) < SETTLING_SECONDS:
         return False
--- a/gullmount/decisions/attribution/comparison.py
+++ b/gullmount/decisions/attribution/comparison.py
@@ -1,7 +1,7 @@
-"""One build against the baseline over the same seconds: failures by an exact test, latency by server.
+"""Compares one build with the baseline over the same seconds: failures by an exact test, latency by server.
 
-Latencies are logarithms in octaves (a factor of two) of the route's latency objective. Whether a result is
-enough to blame a build or to hold it is decided in `candidate_checks`.
+Latencies are logarithms to base 2 of the ratio to the latency objective of the route; one octave is a factor
+of two. `candidate_checks` decides whether a result is enough to blame a build or to hold it.
 """
 
 from __future__ import annotations
@@ -15,28 +15,48 @@
 
 from gullmount.decisions.attribution.evidence import Sample, SampleKey
 
-IGNORED_SERVERS_SHARE = 0.25  # of a build's servers, the most failing: one broken machine blames no build
-MIN_BASELINE_LATENCIES = 3  # of the baseline in a slice pair and route, for it to be compared
-MIN_SERVER_LATENCIES = 2  # of a server, for it to be compared
-MIN_BASELINE_SERVERS = 3  # to estimate how much servers differ
-MIN_ZONE_LATENCIES = 8  # of the baseline in a zone, to estimate the zone's distance
-MIN_SERVER_DEVIATION_OCTAVES = 0.15  # octaves, between healthy servers: machines aren't alike
-DEFAULT_SERVER_VARIANCE = (
-    MIN_SERVER_DEVIATION_OCTAVES**2 * 4
-)  # octaves squared, with too few baseline servers
-BUILD_DEVIATION_OCTAVES = 0.2  # octaves, between the servers of healthy builds: they aren't loaded alike
-SINGLE_SERVER_DEVIATION_OCTAVES = (
-    0.25  # octaves more for a lone server, so that a busy machine blames no build
-)
-SLICES_PER_COMPARISON = 2  # slices taken together as the same seconds
-DEFAULT_LATENCY_VARIANCE = 1.0  # octaves squared, where no server has two latencies
-
-IsBaseline = Callable[[int], bool]  # whether a build belongs to the baseline
+# Share of the servers of a build that is ignored, those with the most failures first: one broken machine is
+# not the fault of the build.
+IGNORED_SERVERS_SHARE = 0.25
+
+# A group of SLICES_PER_COMPARISON slices is skipped on a route where the baseline has fewer latencies.
+MIN_BASELINE_LATENCIES = 3
+
+# Servers with fewer latencies are not compared.
+MIN_SERVER_LATENCIES = 2
+
+# With fewer baseline servers, the variance between servers is not estimated.
+MIN_BASELINE_SERVERS = 3
+
+# With fewer latencies of the baseline in a zone, the latency offset of the zone is not estimated.
+MIN_ZONE_LATENCIES = 8
+
+# Lower limit of the standard deviation between healthy servers, whose machines differ.
+MIN_SERVER_DEVIATION_OCTAVES = 0.15
+
+# Variance between servers with too few baseline servers, in octaves squared.
+DEFAULT_SERVER_VARIANCE = MIN_SERVER_DEVIATION_OCTAVES**2 * 4
+
+# Standard deviation between the servers of different healthy builds, which have different loads.
+BUILD_DEVIATION_OCTAVES = 0.2
+
+# Additional standard deviation of a build with a single server, so that a busy machine is not taken for a
+# slow build. With more servers, its variance is divided by their number.
+SINGLE_SERVER_DEVIATION_OCTAVES = 0.25
+
+# Number of consecutive slices that are compared as the same period.
+SLICES_PER_COMPARISON = 2
+
+# Variance of single latencies in octaves squared, if no server has two latencies.
+DEFAULT_LATENCY_VARIANCE = 1.0
+
+# Returns whether a build belongs to the baseline.
+IsBaseline = Callable[[int], bool]
 
 
 @dataclass
 class AttemptCounts:
-    """Attempts and the failed ones among them."""
+    """Number of attempts, and of the failed ones among them."""
 
     attempts: int = 0
     failed: int = 0
@@ -44,7 +64,7 @@
 
 @dataclass(frozen=True)
 class FailureComparison:
-    """Failures of a build against the baseline's; `p_value` is the probability of so many by chance."""
+    """Failures of a build compared with the baseline; `p_value` is the probability of so many by chance."""
 
     attempts: int
     failed: int
@@ -54,28 +74,28 @@
 
     @property
     def excess(self) -> float:
-        """By how much the build's share of failures exceeds the baseline's."""
+        """Failure rate of the build minus that of the baseline."""
         return self.failed / max(1, self.attempts) - self.baseline_failed / max(1, self.baseline_attempts)
 
     def summary(self) -> str:
         """Return the figures for people."""
         return (
-            f"errors {self.failed} of {self.attempts} against {self.baseline_failed} of "
-            f"{self.baseline_attempts}"
+            f"failed {self.failed} of {self.attempts} attempts, "
+            f"baseline {self.baseline_failed} of {self.baseline_attempts}"
         )
 
 
 @dataclass(frozen=True)
 class LatencyComparison:
-    """Latency of a build's servers against the baseline's.
+    """Latency of the servers of a build compared with those of the baseline.
 
     Attributes:
-        ratio: How many times slower the build is.
-        p_value: The probability of such a ratio by chance.
-        servers: Number of the build's servers that were compared.
-        baseline_servers: The same of the baseline.
-        timed: Latencies of the build that were compared.
-        deviation: Standard deviation of the ratio's logarithm, in octaves.
+        ratio: Mean latency of the build divided by that of the baseline.
+        p_value: Probability of such a ratio by chance.
+        servers: Number of compared servers of the build.
+        baseline_servers: Number of compared servers of the baseline.
+        timed: Number of compared latencies of the build.
+        deviation: Standard deviation of the logarithm of the ratio, in octaves.
     """
 
     ratio: float
@@ -88,13 +108,13 @@
     def summary(self) -> str:
         """Return the figures for people."""
         return (
-            f"times {self.ratio:.2f} as long at {self.servers} boxes ({self.timed} tries) "
-            f"as at {self.baseline_servers} others"
+            f"latency {self.ratio:.2f} times that of the baseline "
+            f"({self.servers} servers, {self.timed} attempts; {self.baseline_servers} baseline servers)"
         )
 
 
 def binomial_upper_tail(count: int, total: int, probability: float) -> float:
-    """Return the probability that at least `count` of `total` fall into a part of this share."""
+    """Return the probability of at least `count` successes in `total` trials of this probability."""
     return min(
         1.0,
         sum(
@@ -105,7 +125,7 @@
 
 
 def compare_failures(samples: Iterable[Sample], build: int, is_baseline: IsBaseline) -> FailureComparison:
-    """Compare the failures of a build, its most failing servers left out, with the baseline's."""
+    """Compare the failures of a build, without its servers that fail most, with those of the baseline."""
     by_server: dict[str, AttemptCounts] = defaultdict(AttemptCounts)
     baseline = AttemptCounts()
     for _, key, sums in samples:
@@ -131,22 +151,22 @@
 
 @dataclass(slots=True)
 class LatencySums:
-    """Number and sum of latencies, in octaves."""
+    """Number and sum of latencies, the sum in octaves."""
 
     count: int = 0
     total: float = 0.0
 
     @property
     def mean(self) -> float:
-        """The mean latency in octaves; at least one must have been added."""
+        """Mean latency in octaves; raises ZeroDivisionError if there is no latency."""
         return self.total / self.count
 
 
 @dataclass(slots=True)
 class ServerSums:
-    """Latencies of one server with one build, in octaves above the baseline's mean.
+    """Sums over the latencies of one server running one build, in octaves above the mean of the baseline.
 
-    A server that changes its build is two.
+    A server that changes its build has separate sums for each build.
     """
 
     build: int
@@ -171,22 +191,23 @@
 
 
 class ServerLatencies:
-    """How much slower each server is than the baseline in the same seconds on the same routes, in octaves.
+    """Latency of each server relative to the baseline on the same routes in the same seconds, in octaves.
 
-    The distance of a zone, as the baseline's servers there show it, is taken out. Seconds in which the
-    baseline served too little are left out.
+    The latency offset of each zone, as measured at the servers of the baseline there, is subtracted. Seconds
+    with too few latencies of the baseline are left out.
     """
 
     def __init__(self, samples: Sequence[Sample], is_baseline: IsBaseline) -> None:
         self.is_baseline = is_baseline
-        self.servers: dict[tuple[str, int, str], ServerSums] = {}  # by id, build and zone
+        # The key is the id, build and zone of a server.
+        self.servers: dict[tuple[str, int, str], ServerSums] = {}
         self._add_samples(samples)
         self._subtract_zone_offsets()
         self.variance_within = self._variance_within()
         self.variance_between = self._variance_between()
 
     def compare(self, build: int, zone: str = "") -> LatencyComparison:
-        """Compare the build with the baseline, in one zone or (by default) in all."""
+        """Compare the build with the baseline in one zone, or in all zones by default."""
         own = self._means(
             lambda server_build, server_zone: server_build == build and zone in ("", server_zone)
         )
@@ -243,7 +264,7 @@
             server.total -= server.count * offset
 
     def _variance_within(self) -> float:
-        """Return the variance of single latencies at one server."""
+        """Return the variance of single latencies at one server, in octaves squared."""
         degrees_of_freedom = spread = 0.0
         for server in self.servers.values():
             if server.count > 1:
@@ -252,7 +273,7 @@
         return spread / degrees_of_freedom if degrees_of_freedom else DEFAULT_LATENCY_VARIANCE
 
     def _variance_between(self) -> float:
-        """Return the variance of the mean latencies of healthy servers."""
+        """Return the variance between the mean latencies of baseline servers, in octaves squared."""
         means = self._means(lambda build, _zone: self.is_baseline(build))
         if len(means) < MIN_BASELINE_SERVERS:
             return DEFAULT_SERVER_VARIANCE
@@ -263,7 +284,7 @@
         return float(max(MIN_SERVER_DEVIATION_OCTAVES**2, spread - expected_spread))
 
     def _means(self, is_selected: Callable[[int, str], bool]) -> list[Mean]:
-        """Return the mean of each server whose build and zone are wanted."""
+        """Return the mean latency of each server whose build and zone are selected."""
         return [
             Mean(server.count, server.total / server.count)
             for server in self.servers.values()
@@ -271,7 +292,7 @@
         ]
 
     def _pooled(self, means: Iterable[Mean]) -> Estimate:
-        """Return the mean over servers; a server counts by how well its own mean is known."""
+        """Return the mean over servers, each weighted by the inverse variance of its own mean."""
         weights = [
             (1 / (self.variance_between + self.variance_within / mean.timed), mean.value) for mean in means
         ]
--- a/gullmount/decisions/attribution/evaluation.py
+++ b/gullmount/decisions/attribution/evaluation.py
@@ -1,4 +1,4 @@
-"""One evaluation of the evidence: who is to be rolled back, who may be promoted, and why."""
+"""Evaluates the evidence: which candidates to roll back, which one may be promoted, and why."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from gullmount.decisions.attribution.views import CandidateView, ServerView, find_unreleased_builds
 from gullmount.decisions.model import ReleasePhase
 
-LONG_SPAN_SECONDS = (
-    20.0  # seconds over which builds are compared: enough for the few attempts of a first stage
-)
-SHORT_SPAN_SECONDS = 8.0  # seconds likewise: short enough for what has begun in the middle of a stage
+# Builds are compared over a span long enough for the few attempts of a first stage, and over one short enough
+# for a degradation that began in the middle of a stage.
+LONG_SPAN_SECONDS = 20.0
+SHORT_SPAN_SECONDS = 8.0
 
 
 @dataclass(frozen=True)
@@ -25,9 +25,9 @@
     """The result of one evaluation.
 
     Attributes:
-        assessment: What is sent to the peers.
-        findings: What is logged where it is new; at least one.
-        slowdown: What explains a slowdown of all servers.
+        assessment: The assessment to send to the peers.
+        findings: All findings, at least one; the new ones are logged.
+        slowdown: The finding on a slowdown of all servers or of one zone.
     """
 
     assessment: Assessment
@@ -36,7 +36,7 @@
 
 
 class EvidenceAnalyzer:
-    """Evaluates the evidence; remembers what needs more than one evaluation."""
+    """Evaluates the evidence, and keeps the state that spans several evaluations."""
 
     def __init__(self) -> None:
         self.transitions = Transitions()
@@ -52,15 +52,15 @@
         evaluator_count: int,
         token: int,
     ) -> Evaluation:
-        """Evaluate what all instances saw.
+        """Evaluate the samples of all instances.
 
         Args:
-            now: Seconds on the instance's clock.
+            now: Time on the clock of the instance, in seconds.
             evidence: The samples of all instances.
             candidates: All builds under release, the oldest first.
             servers: All servers in the endpoint list.
             evaluator_count: Number of instances that evaluate.
-            token: Fencing token of the assessment; 0 where there is no leader.
+            token: Fencing token of the assessment; 0 if there is no leader.
         """
         samples = list(evidence.since(now, LONG_SPAN_SECONDS))
         sums = sum_over_slices(samples)
@@ -101,7 +101,8 @@
         recent_samples = [sample for sample in samples if sample.slice_number >= first_recent_slice]
         checks = _CheckSummary([], set())
         for span_samples, span_sums in ((samples, sums), (recent_samples, sum_over_slices(recent_samples))):
-            latencies: dict[int, ServerLatencies] = {}  # by the build that their baseline excludes
+            # The key is the build that the baseline excludes.
+            latencies: dict[int, ServerLatencies] = {}
             for build in suspected_builds:
                 baseline = choose_baseline(span_sums, build, unreleased_builds)
                 if baseline.excluded_build not in latencies:
@@ -126,9 +127,9 @@
         servers: Sequence[ServerView],
         held_builds: set[int],
     ) -> CandidateView | None:
-        """Return the oldest candidate that may be promoted.
+        """Return the oldest candidate that may be promoted, or None.
 
-        Only one is promoted at a time, so that what follows can be attributed to it.
+        Candidates are promoted one at a time, so that the effects of a promotion can be attributed to it.
         """
         for candidate in candidates:
             if (
@@ -143,7 +144,7 @@
 
 @dataclass(frozen=True)
 class _CheckSummary:
-    """What the comparisons of all builds came to."""
+    """Results of comparing all suspected builds with their baselines."""
 
     findings: list[Finding]
     builds_to_hold: set[int]
--- a/gullmount/decisions/attribution/evaluators.py
+++ b/gullmount/decisions/attribution/evaluators.py
@@ -1,7 +1,7 @@
-"""Which instances evaluate the evidence of all, and the assessments received from them.
+"""Tracks which instances evaluate the evidence of all, and the assessments received from them.
 
-Without a leader the first few instances evaluate. With one, only its assessments count, and only those that
-carry the fencing token of its appointment.
+Without a leader, the instances with the lowest numbers evaluate. With a leader, only its assessments are
+used, and only those with the fencing token of its appointment.
 """
 
 from __future__ import annotations
@@ -11,35 +11,40 @@
 
 from gullmount.decisions.attribution.findings import Assessment
 
-MAX_EVALUATORS = 2  # without a leader: one may be killed or cut off
-ASSESSMENT_LIFETIME_SECONDS = 2.5  # for which an assessment counts; several may be lost meanwhile
+# Number of evaluators without a leader; one of them may crash or be partitioned.
+MAX_EVALUATORS = 2
+
+# An assessment is used for so long after its receipt, so that several later ones may be lost.
+ASSESSMENT_LIFETIME_SECONDS = 2.5
 
 
 class ReceivedAssessment(NamedTuple):
-    """An assessment, and when it was received, in seconds."""
+    """An assessment and its time of receipt in seconds."""
 
     assessment: Assessment
     at: float
 
 
 class Evaluators:
-    """The instances that evaluate, by number; without gossip each instance evaluates for itself."""
+    """The numbers of the instances that evaluate. Without gossip, each instance evaluates for itself."""
 
     def __init__(self, instance_number: int, instance_count: int, gossip_enabled: bool) -> None:
         count = min(MAX_EVALUATORS, instance_count) if gossip_enabled else instance_count
         self.instance_number = instance_number
         self.numbers: Collection[int] = range(count)
-        self.has_leader = False  # also where its appointment says that there is none for now
-        self.token = 0  # of the leader's appointment
+        # Stays True after an appointment that names no leader for now.
+        self.has_leader = False
+        # Fencing token of the newest appointment.
+        self.token = 0
         self.received: dict[int, ReceivedAssessment] = {}
 
     @property
     def includes_this_instance(self) -> bool:
-        """Whether this instance evaluates for all."""
+        """Whether this instance is an evaluator."""
         return self.instance_number in self.numbers
 
     def set_leader(self, leader: int | None, token: int) -> bool:
-        """Make one instance, or none for now, the evaluator; return whether the token is new enough."""
+        """Make one instance, or none for now, the only evaluator; return False if the token is outdated."""
         if token < self.token:
             return False
         if token > self.token:
@@ -50,12 +55,12 @@
         return True
 
     def receive(self, now: float, sender: int, assessment: Assessment) -> None:
-        """Keep the assessment of an evaluator; those of others and of earlier leaders are dropped."""
+        """Keep the assessment of an evaluator; drop those of other instances and of earlier leaders."""
         if sender in self.numbers and assessment.token == self.token:
             self.received[sender] = ReceivedAssessment(assessment, now)
 
     def recent_assessments(self, now: float, senders: Collection[int]) -> list[Assessment]:
-        """Return the assessments of these senders that still count."""
+        """Return the unexpired assessments of these senders."""
         return [
             received.assessment
             for sender, received in self.received.items()
@@ -63,9 +68,9 @@
         ]
 
     def assessments_of_all(self, now: float) -> list[Assessment]:
-        """Return the assessments of all evaluators that still count."""
+        """Return the unexpired assessments of all evaluators."""
         return self.recent_assessments(now, self.numbers)
 
     def preceding_assessments(self, now: float) -> list[Assessment]:
-        """Return those of the instances with a lower number, which act before this one does."""
+        """Return the unexpired assessments of instances with a lower number, which take precedence."""
         return self.recent_assessments(now, range(self.instance_number))
--- a/gullmount/decisions/attribution/evidence.py
+++ b/gullmount/decisions/attribution/evidence.py
@@ -1,6 +1,6 @@
-"""Sums over ended attempts by time slice, server, build and route; the sums of all instances add up.
+"""Sums ended attempts by time slice, server, build and route, and merges the sums of several instances.
 
-Only bookkeeping lives here: what the sums say is decided in the other modules.
+The other modules of the package evaluate these sums.
 """
 
 from __future__ import annotations
@@ -10,15 +10,25 @@
 from math import log2
 from typing import NamedTuple
 
-SLICE_SECONDS = 1.0  # shorter than a stage's ramp, so that a change of a share shows in its shape
-MAX_SLICES = 45  # slices kept: two stages of each candidate and some normal service before them
-MAX_SAMPLES = 60_000  # sums kept, about 20 MB; past that the oldest slices go first
-MAX_SLICES_AHEAD = 2  # by which the slice of a peer may lie ahead of ours: clocks differ, messages come late
-MIN_RELATIVE_LATENCY = 1e-4  # objectives; the logarithm of anything quicker is taken as of this
+# A slice is shorter than the ramp of a stage, so that the course of a traffic share can be seen over its
+# slices.
+SLICE_SECONDS = 1.0
+
+# Enough for two stages of each candidate and some normal service before them.
+MAX_SLICES = 45
+
+# About 20 MB; the oldest slices are dropped beyond this number.
+MAX_SAMPLES = 60_000
+
+# Slices of a peer may be this far in the future, because clocks differ and messages are delayed.
+MAX_SLICES_AHEAD = 2
+
+# Multiple of the latency objective; shorter latencies are raised to it before their logarithm is taken.
+MIN_RELATIVE_LATENCY = 1e-4
 
 
 class SampleKey(NamedTuple):
-    """What one set of sums is about."""
+    """Server, build, zone and route that the sums are kept for."""
 
     server_id: str
     build: int
@@ -27,7 +37,10 @@
 
 
 class SampleRow(NamedTuple):
-    """The sums of one slice and key as instances send them to each other, in the order on the wire."""
+    """The sums of one slice and key as instances send them to each other, in the order on the wire.
+
+    `total` is in octaves, `squares` in octaves squared.
+    """
 
     slices_ago: int
     server_id: str
@@ -37,19 +50,19 @@
     attempts: int
     failed: int
     timed: int
-    total: float  # octaves
-    squares: float  # octaves squared
+    total: float
+    squares: float
 
 
 class SampleSums:
     """Sums over the attempts of one slice and key.
 
     Attributes:
-        attempts: All attempts that ended.
-        failed: Those of them that failed.
-        timed: Those of them whose latency counts.
-        total: Sum of the logarithms of these latencies, in octaves of the route's latency objective.
-        squares: Sum of the squares of the same logarithms, in octaves squared.
+        attempts: Number of ended attempts.
+        failed: Number of failed attempts among them.
+        timed: Number of attempts among them whose latency is included.
+        total: Sum of the base-2 logarithms of these latencies relative to the latency objective of the route.
+        squares: Sum of the squares of these logarithms.
     """
 
     __slots__ = ("attempts", "failed", "squares", "timed", "total")
@@ -59,7 +72,12 @@
         self.total = self.squares = 0.0
 
     def record(self, latency: float | None, failed: bool) -> None:
-        """Add one attempt; `latency` in objectives, None where it doesn't count."""
+        """Add one attempt.
+
+        Args:
+            latency: Latency as a multiple of the latency objective; None to leave it out.
+            failed: Whether the attempt failed.
+        """
         self.attempts += 1
         self.failed += failed
         if latency is not None:
@@ -69,7 +87,7 @@
             self.squares += octaves * octaves
 
     def add(self, attempts: int, failed: int, timed: int, total: float, squares: float) -> None:
-        """Add the sums of others."""
+        """Add the sums of another instance or slice."""
         self.attempts += attempts
         self.failed += failed
         self.timed += timed
@@ -78,7 +96,7 @@
 
 
 class Sample(NamedTuple):
-    """One set of sums with its slice and key."""
+    """The sums of one slice and key."""
 
     slice_number: int
     key: SampleKey
@@ -86,19 +104,26 @@
 
 
 class Evidence:
-    """The sums of the newest `MAX_SLICES` slices, of one instance or of all whose samples were merged."""
+    """The sums of the newest `MAX_SLICES` slices, over one instance or several merged ones."""
 
     def __init__(self) -> None:
         self.slices: dict[int, dict[SampleKey, Sample]] = {}
         self.sample_count = 0
 
     def record(self, now: float, key: SampleKey, latency: float | None, failed: bool) -> None:
-        """Add an attempt that ended now; `latency` in objectives, None where it doesn't count."""
+        """Add an attempt that ended now.
+
+        Args:
+            now: Time on the clock of the instance, in seconds.
+            key: Server, build, zone and route of the attempt.
+            latency: Latency as a multiple of the latency objective; None to leave it out.
+            failed: Whether the attempt failed.
+        """
         self._sums_for(int(now / SLICE_SECONDS), key).record(latency, failed)
         self._drop_excess()
 
     def merge(self, now: float, rows: Iterable[SampleRow]) -> None:
-        """Add what another instance saw; rows from outside the kept slices are left out."""
+        """Add the rows of another instance; rows outside the kept slices are ignored."""
         current_slice = int(now / SLICE_SECONDS)
         for row in rows:
             if -MAX_SLICES_AHEAD <= row.slices_ago < MAX_SLICES:
@@ -114,7 +139,7 @@
             yield from self.slices[slice_number].values()
 
     def rows(self, now: float) -> list[SampleRow]:
-        """Return all samples as they are sent to a peer, the oldest slice first."""
+        """Return all samples as rows to send to a peer, the oldest slice first."""
         current_slice = int(now / SLICE_SECONDS)
         return [
             SampleRow(
@@ -152,7 +177,7 @@
 
 
 def sum_over_slices(samples: Iterable[Sample]) -> list[Sample]:
-    """Return the samples added up over their slices, one for each key."""
+    """Return one sample for each key, summed over all slices."""
     sums_by_key: dict[SampleKey, SampleSums] = defaultdict(SampleSums)
     for _, key, sums in samples:
         sums_by_key[key].add(sums.attempts, sums.failed, sums.timed, sums.total, sums.squares)
--- a/gullmount/decisions/attribution/findings.py
+++ b/gullmount/decisions/attribution/findings.py
@@ -1,4 +1,4 @@
-"""What attribution concludes: findings for the log, and the assessment sent to peers."""
+"""Defines the results of attribution: findings for the log, and assessments sent to peers."""
 
 from __future__ import annotations
 
@@ -8,18 +8,28 @@
 
 
 class Cause(Enum):
-    """What a degradation of service is attributed to."""
+    """What a degradation of service is attributed to.
 
-    NOTHING = "nothing"  # service hasn't degraded
+    Attributes:
+        NOTHING: Service has not degraded.
+        BUILD: One build degrades service.
+        SHARED: All servers slowed down when no traffic share changed to explain it; a shared dependency is
+            slow.
+        LOAD: All servers slowed down as the load rose.
+        ZONE: The servers of one zone slowed down, whatever their build.
+        UNKNOWN: Service has degraded, and several causes explain it.
+    """
+
+    NOTHING = "nothing"
     BUILD = "build"
-    SHARED = "shared"  # all servers slowed down at a time that no build's share explains: a dependency
-    LOAD = "load"  # all servers slowed down as the load rose
-    ZONE = "zone"  # the servers of one zone slowed down, whatever their build
-    UNKNOWN = "unknown"  # service has degraded, and several causes explain it
+    SHARED = "shared"
+    LOAD = "load"
+    ZONE = "zone"
+    UNKNOWN = "unknown"
 
 
 class Symptom(StrEnum):
-    """In which way a build degrades service."""
+    """How a build degrades service; `SLOWS_ALL` means that it slows the servers of all builds."""
 
     NONE = ""
     FAILS = "fails"
@@ -28,7 +38,7 @@
 
 
 class FindingKey(NamedTuple):
-    """What tells one finding from another."""
+    """Identifies a finding: findings with the same key are logged as the same."""
 
     cause: Cause
     build: int
@@ -43,14 +53,14 @@
 
     Attributes:
         cause: What the degradation is attributed to.
-        build: The build to blame; with `UNKNOWN` the most likely one. 0 for none.
-        symptom: What the build does; a `Symptom`, or the text that a peer sent.
-        zone: The zone that it is limited to, empty for all.
-        route: The route that it is limited to, empty for all.
-        confidence: How sure it is, from 0 to 1.
-        figures: The figures behind it, for people.
-        settled_by: What would turn an unknown cause into a known one, for people.
-        attempts: Number of attempts that it rests on.
+        build: The build to blame, or the most likely one with `UNKNOWN`; 0 for none.
+        symptom: How the build degrades service; a `Symptom`, or the text received from a peer.
+        zone: The zone that the degradation is limited to; empty for all.
+        route: The route that the degradation is limited to; empty for all.
+        confidence: Confidence in the finding, from 0 to 1.
+        figures: Human-readable figures behind the finding.
+        settled_by: Human-readable event that would make an unknown cause known.
+        attempts: Number of attempts that the finding is based on.
     """
 
     cause: Cause
@@ -65,11 +75,11 @@
 
     @property
     def key(self) -> FindingKey:
-        """What must differ for a finding to be logged as a new one."""
+        """The key of this finding; a finding is logged when its key is new."""
         return FindingKey(self.cause, self.build, self.symptom, self.zone, self.route)
 
     def summary(self) -> str:
-        """Return one line for people; peers receive it as the reason for a rollback."""
+        """Return a human-readable line; peers receive it as the reason for a rollback."""
         if self.cause is Cause.BUILD:
             subject = f"build {self.build} {self.symptom}"
         else:
@@ -77,10 +87,10 @@
         zone = f" in zone {self.zone}" if self.zone else ""
         route = f" on route {self.route}" if self.route else ""
         settled_by = f"; {self.settled_by}" if self.settled_by else ""
-        return f"{subject}{zone}{route} ({self.confidence:.4f} sure): {self.figures}{settled_by}"
+        return f"{subject}{zone}{route} (confidence {self.confidence:.4f}): {self.figures}{settled_by}"
 
     def log_fields(self) -> dict[str, str | int | float]:
-        """Return the fields of the log line; their names are part of the format of recorded days."""
+        """Return the fields of the log line; their names are part of the recorded log format."""
         return {
             "cause": self.cause.value,
             "build": self.build,
@@ -96,15 +106,15 @@
 
 @dataclass
 class Assessment:
-    """What one evaluation says of each candidate; a candidate that it doesn't name is held.
+    """Result of one evaluation for all candidates; a candidate that it does not name is held.
 
     Attributes:
         finding: The most confident finding.
-        rollback_reasons: Why a build is to be rolled back, by build.
-        promotable_stages: The stage at which a build was found fit for promotion, by build.
-        failing_routes: The routes that a build fails, by build.
-        reduced_build: The build whose traffic is reduced to see what follows; 0 for none.
-        token: Fencing token of the leader's appointment; 0 where there is no leader.
+        rollback_reasons: Maps each build to roll back to the reason.
+        promotable_stages: Maps each build that may be promoted to the stage that this applies to.
+        failing_routes: Maps builds to the routes on which they fail.
+        reduced_build: The build whose traffic is reduced to see whether the slowdown follows; 0 for none.
+        token: Fencing token of the appointment of the leader; 0 if there is no leader.
     """
 
     finding: Finding
--- a/gullmount/decisions/attribution/general_slowdown.py
+++ b/gullmount/decisions/attribution/general_slowdown.py
@@ -1,7 +1,8 @@
-"""Whether all that serves has slowed down, and what explains it: a build, a dependency or the load.
+"""Detects a slowdown of all released builds and attributes it to a build, a dependency or the load.
 
-A build is blamed only where its share explains the slowdown by far, for a while, and no build that was rolled
-back lately can be the cause. What explains it less well is reported, and holds the candidates.
+A build is blamed only if its traffic share explains the slowdown much better than any other cause does, has
+done so for some time, and no recently rolled-back build can be the cause. A less certain cause is reported
+and holds the candidates at their stages.
 """
 
 from __future__ import annotations
@@ -19,23 +20,40 @@
 from gullmount.decisions.attribution.zone_slowdown import find_zone_slowdown
 from gullmount.decisions.model import ROLLBACK_PHASES, ReleasePhase
 
-MIN_SLICES = 8  # to explain anything
-MIN_RISE_OCTAVES = 0.4  # octaves above normal service from which on it has degraded
-HOLD_BIC_MARGIN = 1.5  # BIC difference to no slowdown from which on candidates are held
-CAUSE_BIC_MARGIN = 4.0  # BIC difference from which on a cause that rolls nothing back is named
-BLAME_BIC_MARGIN = 9.0  # BIC difference from which on a build is blamed: wrong once in 90 evaluations
-MIN_SUSPECT_SECONDS = 1.5  # seconds for which a build must explain it: what has just begun has no shape yet
+# Minimum number of slices for explaining a slowdown.
+MIN_SLICES = 8
+
+# A smaller rise of the latency above normal service is not a degradation.
+MIN_RISE_OCTAVES = 0.4
+
+# Minimum BIC difference between the model of no slowdown and the best model for holding the candidates.
+HOLD_BIC_MARGIN = 1.5
+
+# Minimum BIC difference to the second-best model for naming a cause other than a build, which leads to no
+# rollback.
+CAUSE_BIC_MARGIN = 4.0
+
+# Minimum BIC difference to the second-best model for blaming a build. At this limit, one of 90 evaluations is
+# wrong.
+BLAME_BIC_MARGIN = 9.0
+
+# A build must explain the slowdown for this long before it is blamed, because the course of a slowdown that
+# has just begun is not known yet.
+MIN_SUSPECT_SECONDS = 1.5
 
 
 class Suspect(NamedTuple):
-    """The build whose share explains the slowdown by far (0 for none), and since when in seconds."""
+    """The build whose share explains the slowdown much better than other causes do; 0 for none.
+
+    `since` is the time in seconds since which that is so.
+    """
 
     build: int
     since: float
 
 
 class GeneralSlowdown:
-    """Explains a slowdown of all servers; remembers which build it suspects, and since when."""
+    """Explains a slowdown of all servers, and keeps track of the suspected build."""
 
     def __init__(self) -> None:
         self.suspect = Suspect(0, 0.0)
@@ -48,14 +66,14 @@
         candidates: Sequence[CandidateView],
         transitions: Transitions,
     ) -> Finding:
-        """Return what explains the slowdown, or that nothing or only one zone has slowed down.
+        """Return the cause of a slowdown of all servers, or the finding on zones if there is none.
 
         Args:
-            now: Seconds on the instance's clock.
+            now: Time on the clock of the instance, in seconds.
             evidence: The samples of all instances.
-            recent_samples: Those of them over which zones are compared.
+            recent_samples: The newest of these samples, over which zones are compared.
             candidates: All builds under release.
-            transitions: When each of them changed last.
+            transitions: The newest transition of each candidate.
         """
         unreleased_builds = find_unreleased_builds(candidates)
         series, attempts = observe_series(now, evidence, unreleased_builds)
@@ -106,7 +124,7 @@
             _most_likely_build(explanation, candidates) if rollbacks_settled else 0,
             confidence=confidence,
             figures=figures,
-            settled_by="the next move of a share",
+            settled_by="the next change of a traffic share",
             attempts=attempts,
         )
 
@@ -116,7 +134,7 @@
 
 
 def _most_likely_build(explanation: Explanation, candidates: Sequence[CandidateView]) -> int:
-    """Return the candidate whose share explains the slowdown best, 0 for none."""
+    """Return the candidate whose share explains the slowdown best, or 0 for none."""
     builds = [one.build for one in candidates if one.phase is ReleasePhase.CANDIDATE]
     return next(
         (model.build for model in explanation.models if model.cause is Cause.BUILD and model.build in builds),
@@ -125,16 +143,17 @@
 
 
 def summarize(explanation: Explanation, series: LatencySeries) -> str:
-    """Return the figures behind an explanation, for people."""
+    """Return the figures behind an explanation as human-readable text."""
     shares = ", ".join(
         f"build {build} {share[0]:.2f} to {share[-1]:.2f}" for build, share in sorted(series.shares.items())
     )
     others = ", ".join(
-        f"{model.cause.value}{f' {model.build}' if model.build else ''} {model.excess:.1f} worse"
+        f"{model.cause.value}{f' {model.build}' if model.build else ''} {model.excess:.1f} higher"
         for model in explanation.models[1:]
     )
     best = explanation.best
     name = f"build {best.build}'s share" if best.cause is Cause.BUILD else best.cause.value
     return (
-        f"all boxes {2**explanation.rise:.2f} times slower; best told by {name} ({others}); shares {shares}"
+        f"latency of all servers rose {2**explanation.rise:.2f} times; lowest BIC for {name} ({others}); "
+        f"shares {shares}"
     )
--- a/gullmount/decisions/attribution/latency_series.py
+++ b/gullmount/decisions/attribution/latency_series.py
@@ -1,4 +1,4 @@
-"""Builds the series by slice of latency, load and shares that the slowdown models are fitted to."""
+"""Builds the time series of latency, load and traffic shares that the slowdown models are fitted to."""
 
 from __future__ import annotations
 
@@ -12,20 +12,25 @@
 from gullmount.decisions.attribution.evidence import MAX_SLICES, SLICE_SECONDS, Evidence, Sample
 from gullmount.decisions.attribution.slowdown_models import FloatArray, LatencySeries
 
-INCOMPLETE_SLICES = 1  # newest slices left out: the peers' samples of them haven't arrived
-SHARE_SLICES = 2  # over which a share is averaged: its effect on others takes that long to show
-MIN_SLICE_LATENCIES = 3  # the mean of fewer says nothing
+# The newest slices are left out, because the samples of the peers have not arrived yet.
+INCOMPLETE_SLICES = 1
+
+# A share is averaged over this many slices, because its effect on other servers takes that long to show.
+SHARE_SLICES = 2
+
+# The mean of fewer latencies is not significant, so the slice is left out.
+MIN_SLICE_LATENCIES = 3
 
 
 class ObservedSeries(NamedTuple):
-    """The series, and the number of attempts that it rests on."""
+    """The series, and the number of attempts that it is based on."""
 
     series: LatencySeries
     attempts: int
 
 
 class _SliceLatencies(NamedTuple):
-    """Number and sum of the latencies in each slice, and the squares of all."""
+    """Number and sum of the latencies in each slice, and the sum of the squares over all slices."""
 
     counts: FloatArray
     totals: FloatArray
@@ -33,7 +38,7 @@
 
 
 def observe_series(now: float, evidence: Evidence, unreleased_builds: Collection[int]) -> ObservedSeries:
-    """Return the series over all complete slices; latencies and loads are those of the builds that serve."""
+    """Return the series over all complete slices; latencies and loads are those of the released builds."""
     newest = int(now / SLICE_SECONDS) - INCOMPLETE_SLICES
     samples = [
         sample for sample in evidence.since(now, MAX_SLICES * SLICE_SECONDS) if sample.slice_number <= newest
@@ -65,7 +70,7 @@
 
 
 def _positions(samples: Sequence[Sample]) -> dict[int, int]:
-    """Return the place of each slice in the series."""
+    """Return the position of each slice in the series."""
     slices = sorted({sample.slice_number for sample in samples})
     return {slice_number: position for position, slice_number in enumerate(slices)}
 
@@ -78,7 +83,7 @@
 
 
 def _slice_latencies(released_samples: Sequence[Sample], positions: dict[int, int]) -> _SliceLatencies:
-    """Sum the latencies above the mean of their route, in octaves."""
+    """Sum the differences of the latencies from the mean of their route, in octaves."""
     by_route: dict[str, LatencySums] = defaultdict(LatencySums)
     for _, key, sums in released_samples:
         by_route[key.route].count += sums.timed
@@ -105,7 +110,7 @@
 
 
 def trailing_mean(values: FloatArray) -> FloatArray:
-    """Return the mean of each value and those before it, `SHARE_SLICES` in all; the first stands for none."""
+    """Return the trailing mean over `SHARE_SLICES` values; the first value stands for those before it."""
     sums = values.copy()
     for offset in range(1, SHARE_SLICES):
         sums[offset:] += values[:-offset]
--- a/gullmount/decisions/attribution/slowdown_models.py
+++ b/gullmount/decisions/attribution/slowdown_models.py
@@ -1,8 +1,11 @@
-"""Competing models of why all servers slow down at once, fitted by least squares and ranked.
+"""Fits competing models of a slowdown of all servers by least squares and ranks them.
 
-A build that hurts what all share slows them as far as its share has moved, each time that it moves; a
-dependency slows them whatever the shares do; load slows them as it rises. Each model pays for its free
-parameters by the Bayesian information criterion (BIC).
+- A build that impairs a shared resource slows all servers in step with each change of its traffic share.
+- A dependency slows all servers independently of the shares.
+- Load slows all servers as it rises.
+
+The models are ranked by the Bayesian information criterion (BIC), which adds a penalty for each free
+parameter.
 """
 
 from __future__ import annotations
@@ -17,32 +20,45 @@
 
 from gullmount.decisions.attribution.findings import Cause
 
-SLICE_MEAN_DEVIATION_OCTAVES = (
-    0.16  # octaves by which a slice's mean latency varies beyond chance: loads, queues
-)
-BUILD_STRENGTHS = tuple(
-    0.25 * 1.25**step for step in range(20)
-)  # slowdown per whole share, tried in turn: to 17
-RECENT_SLICES = 3  # over which the present rise is taken
-MIN_STEP_SLICES = 2  # of a step that is over
-BUILD_PARAMETERS = 2.0  # a build's strength, and that there is one
+# Standard deviation of the mean latency of a slice beyond chance, caused by changing loads and queues.
+SLICE_MEAN_DEVIATION_OCTAVES = 0.16
+
+# Strengths of the effect of a build that are tried in turn, up to 17. The strength is the relative slowdown
+# of all servers while the build has the whole traffic.
+BUILD_STRENGTHS = tuple(0.25 * 1.25**step for step in range(20))
+
+# The current rise is the mean over this many slices.
+RECENT_SLICES = 3
+
+# Minimum length of a step that has ended.
+MIN_STEP_SLICES = 2
+
+# Free parameters: the strength of a build and the presence of its effect.
+BUILD_PARAMETERS = 2.0
+
 LOAD_PARAMETERS = 2.0
-STEP_PARAMETERS = 3.0  # height, begin and end
-MIN_SHARE_RANGE = 0.03  # of all attempts, that a share must have spanned to explain anything
-MIN_SPREAD = 1e-12  # keeps a step that covers every slice from dividing by zero
+
+# Free parameters: the height, start and end of a step.
+STEP_PARAMETERS = 3.0
+
+# A build whose traffic share varied by less than this is not considered as the cause.
+MIN_SHARE_RANGE = 0.03
+
+# Prevents a division by zero for a step that covers every slice.
+MIN_SPREAD = 1e-12
 
 FloatArray = NDArray[np.float64]
 
 
 @dataclass(frozen=True)
 class LatencySeries:
-    """Mean latency of what serves, slice by slice.
+    """Mean latency of the released builds in each slice, with the variables that may explain it.
 
     Attributes:
-        means: Mean latency, in octaves.
+        means: Mean latencies, in octaves.
         variances: Variance of each mean by chance, in octaves squared.
-        loads: Attempts per serving server.
-        shares: Share of all attempts that a build got, by build.
+        loads: Number of attempts per server of the released builds.
+        shares: Maps each build to its share of all attempts.
     """
 
     means: FloatArray
@@ -52,21 +68,21 @@
 
 
 class Fit(NamedTuple):
-    """A fitted model: weighted squares left over, and the rise that it sees now, in octaves."""
+    """A fitted model: the weighted residual sum of squares, and the current rise in octaves."""
 
     residual: float
     rise: float
 
 
 class LineFit(NamedTuple):
-    """A fitted straight line: weighted squares left over, and the slope, at least 0."""
+    """A fitted straight line: the weighted residual sum of squares, and the slope, which is at least 0."""
 
     residual: float
     slope: float
 
 
 class Model(NamedTuple):
-    """A cause with the build that it names (0 for none) and its distance from the best model in BIC."""
+    """A cause, its build (0 for none), and by how much its BIC exceeds that of the best model."""
 
     cause: Cause
     build: int
@@ -82,7 +98,10 @@
 
 @dataclass(frozen=True)
 class Explanation:
-    """All models, the best first; `rise` in octaves above normal service now, as the best sees it."""
+    """All models, the best first.
+
+    `rise` is the current latency above that of normal service by the best model, in octaves.
+    """
 
     models: Sequence[Model]
     rise: float
@@ -94,11 +113,11 @@
 
     @property
     def margin(self) -> float:
-        """By how much the second model is worse than the best; 0 where there is one model only."""
+        """BIC difference between the second-best and the best model; 0 if there is only one model."""
         return self.models[1].excess if len(self.models) > 1 else 0.0
 
     def excess_of_no_slowdown(self) -> float:
-        """Return by how much "nothing has happened" is worse than the best model."""
+        """Return the BIC difference between the model of no slowdown and the best model."""
         return next(model.excess for model in self.models if model.cause is Cause.NOTHING)
 
 
@@ -126,7 +145,7 @@
 
 
 def fit_line(means: FloatArray, weights: FloatArray, regressor: FloatArray) -> LineFit:
-    """Fit a level and the shape with a slope that isn't negative."""
+    """Fit an intercept, and a slope on the regressor that is not negative."""
     total = weights.sum()
     mean, regressor_mean = (weights * means).sum() / total, (weights * regressor).sum() / total
     spread = (weights * (regressor - regressor_mean) ** 2).sum()
@@ -138,14 +157,14 @@
 
 
 def fit_load(means: FloatArray, weights: FloatArray, loads: FloatArray) -> Fit:
-    """Fit latencies that follow the load, both in octaves."""
+    """Fit latencies that are linear in the load, both in octaves."""
     load = np.log2(np.maximum(loads, 1.0))
     line = fit_line(means, weights, load)
     return Fit(line.residual, line.slope * float(load[-RECENT_SLICES:].mean() - np.median(load)))
 
 
 def fit_share(means: FloatArray, weights: FloatArray, share: FloatArray) -> Fit:
-    """Fit latencies that follow 1 + strength x share; of all strengths the best."""
+    """Fit latencies proportional to 1 + strength x share, with the best of `BUILD_STRENGTHS`."""
     best = Fit(float("inf"), 0.0)
     for strength in BUILD_STRENGTHS:
         regressor = np.log2(1 + strength * share)
@@ -157,9 +176,10 @@
 
 
 def fit_step(means: FloatArray, weights: FloatArray) -> Fit:
-    """Fit latencies that rose at some slice and may have fallen again; of all such steps the best.
+    """Fit latencies that rose at one slice and may have fallen again at another; return the best such step.
 
-    All steps are fitted at once by running sums: a step explains covariance squared over spread.
+    All steps are fitted at once by cumulative sums. A step reduces the residual by its squared covariance
+    with the latencies, divided by its own spread.
     """
     count = len(means)
     deviations = means - (weights * means).sum() / weights.sum()
--- a/gullmount/decisions/attribution/traffic_reduction.py
+++ b/gullmount/decisions/attribution/traffic_reduction.py
@@ -1,7 +1,8 @@
-"""When a candidate's traffic is reduced for some seconds, to see whether a slowdown of all servers follows.
+"""Reduces the traffic of a candidate for some seconds, to see whether a slowdown of all servers follows.
 
-Guards against never knowing: while shares stand still, a build that slows all servers looks as a dependency
-does. The cost is that keys of that part of the traffic meet the earlier build for some seconds.
+While traffic shares are constant, a build that slows all servers cannot be distinguished from a slow
+dependency, so the cause might remain unknown. During a reduction, the keys of that part of the traffic return
+to the earlier build for some seconds.
 """
 
 from __future__ import annotations
@@ -11,25 +12,39 @@
 from gullmount.decisions.attribution.findings import Assessment, Cause, Finding
 from gullmount.decisions.attribution.views import CandidateView, ServerView, find_unreleased_builds
 
-REDUCED_LIMIT_FACTOR = 0.3  # of the exposure limit: enough less to show, and the servers stay warm
-UNKNOWN_CAUSE_SECONDS = 2.0  # seconds of an unknown cause after which traffic is reduced
-REDUCTION_SECONDS = 4.5  # seconds; longer than the effect of a share takes to go
-REDUCTION_INTERVAL_SECONDS = 8.0  # seconds from the start of one reduction to the next
-MAX_LOAD_RATIO = 1.5  # of what serves to the mean load: an overload of its own would mislead
+# Factor on the exposure limit during a reduction: small enough for a visible effect, and large enough to keep
+# the servers warm.
+REDUCED_LIMIT_FACTOR = 0.3
 
-RequestReduction = Callable[[int], None]  # the build whose traffic the leader would reduce, 0 when it is over
+# A reduction begins after the cause has been unknown for this long.
+UNKNOWN_CAUSE_SECONDS = 2.0
+
+# A reduction takes longer than the effect of a traffic share takes to disappear.
+REDUCTION_SECONDS = 4.5
+
+# Interval from the start of one reduction to the start of the next.
+REDUCTION_INTERVAL_SECONDS = 8.0
+
+# Highest load of the released builds during a reduction, as a multiple of the mean load. An overload caused
+# by the reduction itself would mislead the evaluation.
+MAX_LOAD_RATIO = 1.5
+
+# Takes the build whose traffic the leader wants to reduce, or 0 after the end of a reduction.
+RequestReduction = Callable[[int], None]
 
 
 class TrafficReduction:
-    """The reduction under way, and what is known of earlier ones.
+    """The newest reduction, current or ended, and the time since which the cause of a slowdown is unknown.
 
     Attributes:
-        is_allowed: Whether keys may go back to an earlier build at all.
+        is_allowed: Whether keys may return to an earlier build at all.
         build: The build whose traffic was reduced last; 0 for none.
-        started_at: When that began, in seconds.
-        unknown_since: Since when a slowdown's cause is unknown; None while it isn't.
+        started_at: Start of that reduction, in seconds.
+        unknown_since: Time since which the cause of a slowdown is unknown, in seconds; None while it is
+            known.
         requested_by_leader: Whether the reduction was granted to this instance as the leader.
-        request: Called by the leader in place of beginning; `begin` follows once it is granted.
+        request_reduction: Called by the leader instead of beginning a reduction; `begin` is called once the
+            request is granted.
     """
 
     def __init__(self, is_allowed: bool) -> None:
@@ -41,11 +56,11 @@
         self.request_reduction: RequestReduction | None = None
 
     def begin(self, now: float, build: int) -> None:
-        """Begin a reduction that the leader requested: it is stored where a successor finds it."""
+        """Begin a reduction requested by the leader, now that it is stored where the next leader finds it."""
         self.build, self.started_at, self.requested_by_leader = build, now, True
 
     def follow(self, now: float, assessment: Assessment) -> int:
-        """Take over the reduction of an evaluator that goes first; return its build, 0 for none."""
+        """Adopt the reduction of an evaluator that takes precedence; return its build, or 0 for none."""
         if assessment.reduced_build:
             self.build, self.started_at = assessment.reduced_build, now
         return assessment.reduced_build
@@ -60,15 +75,15 @@
         has_leader: bool,
         is_evaluator: bool,
     ) -> int:
-        """Return the build whose traffic is to be reduced now, 0 for none.
+        """Return the build whose traffic to reduce now, or 0 for none.
 
         Args:
-            now: Seconds on the instance's clock.
-            slowdown: What explains the slowdown; with an unknown cause its build is the one to try.
-            blamed_builds: The builds that are to be rolled back anyway.
-            can_absorb_traffic: Whether what serves can take the traffic.
-            has_leader: Whether a leader decides for all; it must request a reduction first.
-            is_evaluator: Whether this instance is the leader, where there is one.
+            now: Time on the clock of the instance, in seconds.
+            slowdown: The finding on the slowdown; if its cause is unknown, its build is the one to reduce.
+            blamed_builds: The builds that are about to be rolled back.
+            can_absorb_traffic: Whether the released builds have the capacity for the traffic.
+            has_leader: Whether a leader decides for all instances. A leader must request a reduction first.
+            is_evaluator: Whether this instance is an evaluator: the leader, if there is one.
         """
         if self.build and now - self.started_at < REDUCTION_SECONDS:
             return 0 if self.build in blamed_builds else self.build
@@ -99,7 +114,7 @@
 def can_absorb(
     candidate: CandidateView, candidates: Sequence[CandidateView], servers: Iterable[ServerView]
 ) -> bool:
-    """Whether what serves can take the traffic that a reduction of the candidate would leave it."""
+    """Return whether the released builds have the capacity for the traffic that a reduction moves to them."""
     unreleased_builds = find_unreleased_builds(candidates)
     ready = [server.build for server in servers if server.ready]
     released_fraction = sum(build not in unreleased_builds for build in ready) / max(1, len(ready))
--- a/gullmount/decisions/attribution/transitions.py
+++ b/gullmount/decisions/attribution/transitions.py
@@ -1,7 +1,7 @@
-"""When each candidate last changed its stage or phase, and which conclusions must wait for that.
+"""Tracks when each candidate last changed its stage or phase, and delays conclusions that depend on it.
 
-An effect that is seen right after a change may belong to it: until it had time to show or to go, no other
-candidate is promoted or blamed for it.
+A degradation right after a change may be an effect of that change. No other candidate is promoted, or blamed
+for the effect, before it had time to appear or disappear.
 """
 
 from __future__ import annotations
@@ -12,13 +12,18 @@
 from gullmount.decisions.attribution.views import CandidateView
 from gullmount.decisions.model import ROLLBACK_PHASES, ReleasePhase
 
-PROMOTION_SPACING_SECONDS = 2.5  # after one candidate's change before another is promoted
-BLAMABLE_AFTER_RELEASE_SECONDS = 8.0  # only when released a build carries all traffic
-ROLLBACK_SETTLING_SECONDS = 8.0  # until the queues that a rolled-back build caused have drained
+# Minimum time from a change of one candidate to the promotion of another.
+PROMOTION_SPACING_SECONDS = 2.5
+
+# A build can be blamed for this long after its release, because it has all of the traffic only from then on.
+BLAMABLE_AFTER_RELEASE_SECONDS = 8.0
+
+# Time in which the queues caused by a rolled-back build drain.
+ROLLBACK_SETTLING_SECONDS = 8.0
 
 
 class Transition(NamedTuple):
-    """The newest stage and phase of a candidate, and when they were first seen, in seconds."""
+    """The newest stage and phase of a candidate, and the time of their first observation in seconds."""
 
     stage: int
     phase: ReleasePhase
@@ -32,7 +37,7 @@
         self.by_build: dict[int, Transition] = {}
 
     def record(self, now: float, candidates: Sequence[CandidateView]) -> None:
-        """Note what has changed, and forget the builds that are no candidates any more."""
+        """Record the changed candidates, and remove the builds that are no longer among the candidates."""
         for candidate in candidates:
             last_transition = self.by_build.get(candidate.build, Transition(-1, ReleasePhase.RELEASED, 0.0))
             if (last_transition.stage, last_transition.phase) != (candidate.stage, candidate.phase):
@@ -42,7 +47,7 @@
             del self.by_build[build]
 
     def may_be_blamed(self, candidate: CandidateView, now: float) -> bool:
-        """Whether the build is a candidate, or was released a short time ago."""
+        """Return whether the build is still a candidate, or was released a short time ago."""
         last_transition = self.by_build[candidate.build]
         if last_transition.phase is ReleasePhase.CANDIDATE:
             return True
@@ -52,7 +57,7 @@
         return last_transition.phase is ReleasePhase.RELEASED and newly_released
 
     def others_are_settled(self, build: int, now: float) -> bool:
-        """Whether no other candidate changed so lately that effects couldn't be told apart."""
+        """Return whether no other candidate changed so recently that their effects could be confused."""
         change_times = [
             last_transition.at
             for other_build, last_transition in self.by_build.items()
@@ -61,7 +66,7 @@
         return all(now - at >= PROMOTION_SPACING_SECONDS for at in change_times)
 
     def rollbacks_are_settled(self, now: float) -> bool:
-        """Whether no rolled-back build can be the cause of a slowdown any more."""
+        """Return whether no rolled-back build can still be the cause of a slowdown."""
         rollback_times = [
             last_transition.at
             for last_transition in self.by_build.values()
--- a/gullmount/decisions/attribution/views.py
+++ b/gullmount/decisions/attribution/views.py
@@ -1,7 +1,7 @@
-"""What attribution reads and writes of a server and of a candidate.
+"""Defines the protocols by which attribution accesses servers and candidates.
 
-Protocols in place of the classes in `gullmount.decisions.endpoints` and `releases`, so that a test can pass
-anything that has these few attributes.
+Attribution depends on these protocols instead of the classes in `gullmount.decisions.endpoints` and
+`releases`, so that a test can pass any object with these few attributes.
 """
 
 from __future__ import annotations
@@ -22,27 +22,39 @@
     ready: bool
 
     def age(self, now: float) -> float:
-        """Return the seconds since the server started."""
+        """Return the time since the start of the server, in seconds."""
         ...
 
 
 class CandidateView(Protocol):
-    """A build under release."""
+    """A build under release.
+
+    Attributes:
+        build: Number of the build.
+        stage: Number of the current stage.
+        phase: Phase of the release.
+        released_at: Time of the release in seconds; 0 if it was not during the lifetime of the instance.
+        traffic_share: Share of all requests, from 0 to 1.
+        exposure_limit: Highest share that the stage allows, from 0 to 1.
+        limit_factor: Factor on the exposure limit; set by attribution.
+        failing_routes: Names of the routes that the build fails on; attribution adds to them.
+        ballot: Holds the vote cast last.
+    """
 
     build: int
     stage: int
     phase: ReleasePhase
-    released_at: float  # seconds; 0 where the build wasn't released during the life of the instance
-    traffic_share: float  # of all requests, 0 to 1
-    exposure_limit: float  # highest share that its stage allows, 0 to 1
-    limit_factor: float  # of the exposure limit; attribution sets it
-    failing_routes: set[str]  # attribution adds to it
-    ballot: Ballot  # holds the vote cast last
+    released_at: float
+    traffic_share: float
+    exposure_limit: float
+    limit_factor: float
+    failing_routes: set[str]
+    ballot: Ballot
 
 
 AnyCandidate = TypeVar("AnyCandidate", bound=CandidateView)
 
 
 def find_unreleased_builds(candidates: Iterable[CandidateView]) -> set[int]:
-    """Return the builds that aren't released: still candidates, or rolled back."""
+    """Return the builds that are not released: those that are still candidates or are rolled back."""
     return {candidate.build for candidate in candidates if candidate.phase is not ReleasePhase.RELEASED}
--- a/gullmount/decisions/attribution/votes.py
+++ b/gullmount/decisions/attribution/votes.py
@@ -1,4 +1,4 @@
-"""What assessments bring about: each candidate's limit factor, its failing routes, and the votes to cast."""
+"""Applies assessments to the candidates: limit factors, failing routes, and the votes to cast."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CandidateVote(NamedTuple, Generic[AnyCandidate]):
-    """A vote to cast on a candidate, with its reason for the log."""
+    """A vote to cast on a candidate, and its reason for the log."""
 
     candidate: AnyCandidate
     vote: Vote
@@ -22,9 +22,9 @@
 def apply_assessments(
     candidates: Iterable[AnyCandidate], assessments: Sequence[Assessment]
 ) -> list[CandidateVote[AnyCandidate]]:
-    """Set the candidates' limits and failing routes and return the votes to cast.
+    """Set the limit factors and failing routes of the candidates, and return the votes to cast.
 
-    One assessment is enough for a rollback; a promotion needs all of them.
+    One assessment is enough for a rollback; a promotion needs all assessments.
     """
     votes: list[CandidateVote[AnyCandidate]] = []
     for candidate in candidates:
@@ -48,14 +48,14 @@
             reason = assessment.rollback_reasons[candidate.build]
             return CandidateVote(candidate, Vote.ROLLBACK, reason)
     if _is_promotable(candidate, assessments):
-        return CandidateVote(candidate, Vote.PROMOTE, "nothing against it")
+        return CandidateVote(candidate, Vote.PROMOTE, "no evidence against the build")
     if candidate.ballot.last.vote is not Vote.NONE:
         return CandidateVote(candidate, Vote.NONE, "held")
     return None
 
 
 def _is_promotable(candidate: CandidateView, assessments: Iterable[Assessment]) -> bool:
-    """Whether each assessment clears the candidate at its present stage."""
+    """Return whether every assessment allows the promotion of the candidate from its current stage."""
     return candidate.phase is ReleasePhase.CANDIDATE and all(
         assessment.promotable_stages.get(candidate.build) == candidate.stage for assessment in assessments
     )
--- a/gullmount/decisions/attribution/zone_slowdown.py
+++ b/gullmount/decisions/attribution/zone_slowdown.py
@@ -1,4 +1,4 @@
-"""Whether the servers of one zone have slowed down, whatever they run."""
+"""Detects a slowdown of the servers of one zone, whatever their build."""
 
 from __future__ import annotations
 
@@ -9,25 +9,32 @@
 from gullmount.decisions.attribution.evidence import SLICE_SECONDS, Sample
 from gullmount.decisions.attribution.findings import Cause, Finding
 
-RECENT_SECONDS = 5.0  # seconds that are compared with those before
-MIN_RISE_OCTAVES = 0.7  # octaves, of one zone's latency over that of each other zone
-MIN_LATENCIES = 20  # of a zone, both before and in the recent span
+# This most recent span is compared with the time before it.
+RECENT_SECONDS = 5.0
+
+# The latency of a zone must rise by more than this, and by more than this above the rise of every other zone.
+MIN_RISE_OCTAVES = 0.7
+
+# A zone with fewer latencies, before the recent span or in it, is not evaluated.
+MIN_LATENCIES = 20
+
+# Reported confidence of a zone finding.
 CONFIDENCE = 0.95
 
 
 def find_zone_slowdown(
     now: float, samples: Iterable[Sample], unreleased_builds: Collection[int], attempts: int
 ) -> Finding:
-    """Return the zone that has slowed down alone, else that nothing has.
+    """Return a finding on the only zone that has slowed down, or one with the cause `NOTHING`.
 
-    `attempts` is the number of attempts that the finding is said to rest on.
+    `attempts` is the number of attempts that the finding reports.
     """
     rises = zone_rises(now, samples, unreleased_builds)
     for zone, rise in sorted(rises.items()):
         other_rises = [other_rise for other, other_rise in rises.items() if other != zone]
         if other_rises and min(rise, rise - max(other_rises)) > MIN_RISE_OCTAVES:
             figures = (
-                f"times in zone {zone} rose {2**rise:.2f} times, "
+                f"latency in zone {zone} rose {2**rise:.2f} times, "
                 f"elsewhere {2 ** max(other_rises):.2f} at most"
             )
             return Finding(Cause.ZONE, zone=zone, confidence=CONFIDENCE, figures=figures, attempts=attempts)
@@ -35,7 +42,7 @@
 
 
 def zone_rises(now: float, samples: Iterable[Sample], unreleased_builds: Collection[int]) -> dict[str, float]:
-    """Return the rise of each zone's mean latency in octaves, for the zones that were seen well enough."""
+    """Return the rise of the mean latency of each zone with enough latencies, in octaves."""
     before: dict[str, LatencySums] = defaultdict(LatencySums)
     after: dict[str, LatencySums] = defaultdict(LatencySums)
     for slice_number, key, sums in samples:
