--- a/tests/decisions/attribution/test_attribution.py
+++ b/tests/decisions/attribution/test_attribution.py
@@ -1,4 +1,4 @@
-"""Instances among seeded traffic: which candidate is rolled back, promoted or held, and by whose word."""
+"""Which candidate instances promote, hold or roll back on seeded traffic, and by whose assessment."""
 
 from __future__ import annotations
 
@@ -14,15 +14,14 @@
 def test_two_healthy_candidates_are_promoted_one_at_a_time_and_none_is_rolled_back() -> None:
     simulation = TrafficSimulation()
     simulation.run(20.0)
-    assert simulation.votes_cast() == {(2, Vote.PROMOTE)}  # the older first
+    # The older candidate is promoted first.
+    assert simulation.votes_cast() == {(2, Vote.PROMOTE)}
     simulation.candidates[0].stage = 1
     simulation.candidates[0].phase = ReleasePhase.RELEASED
     simulation.votes.clear()
     simulation.run(2.25)
-    assert (
-        3,
-        Vote.PROMOTE,
-    ) not in simulation.votes_cast()  # what follows the older's promotion must be seen first
+    # The effects of the first promotion must be observed before the second.
+    assert (3, Vote.PROMOTE) not in simulation.votes_cast()
     simulation.run(10.0)
     assert (3, Vote.PROMOTE) in simulation.votes_cast()
     assert not any(vote is Vote.ROLLBACK for _, _, vote in simulation.votes)
@@ -115,7 +114,8 @@
         simulation.run(4.0)
     simulation.votes.clear()
     simulation.candidates[0].phase = ReleasePhase.ROLLING_BACK
-    simulation.shares = {2: 0.0, 3: 0.35}  # the queues that the older left haven't drained yet
+    # The queues that the older candidate caused have not drained yet.
+    simulation.shares = {2: 0.0, 3: 0.35}
     simulation.run(7.0)
     assert (3, Vote.ROLLBACK) not in simulation.votes_cast()
 
@@ -152,7 +152,8 @@
     attribution.receive_assessment(simulation.now, 2, blaming_assessment)
     assert 2 in attribution.evaluators.received
     attribution.set_leader(simulation.now, 3, 6)
-    attribution.set_leader(simulation.now, 2, 5)  # an answer of the replicas that was overtaken
+    # An outdated response of the replicas arrives late.
+    attribution.set_leader(simulation.now, 2, 5)
     assert attribution.evaluators.received == {} and tuple(attribution.evaluators.numbers) == (3,)
 
 
@@ -165,7 +166,8 @@
     isolated.isolated_instances = set(range(20))
     isolated.failure_probability = simulation.failure_probability
     isolated.run(12.0, watched_instance=17)
-    assert (3, Vote.ROLLBACK) not in isolated.votes_cast()  # three attempts a second are no evidence yet
+    # Three attempts per second are not enough evidence.
+    assert (3, Vote.ROLLBACK) not in isolated.votes_cast()
 
 
 def test_instance_without_an_evaluator_votes_by_its_own_evidence() -> None:
--- a/tests/decisions/attribution/test_attribution_scenarios.py
+++ b/tests/decisions/attribution/test_attribution_scenarios.py
@@ -1,4 +1,7 @@
-"""The hard scenarios of two releases at once, one seed each in virtual time: who is blamed, who goes back."""
+"""Difficult scenarios of two concurrent releases, one seed each in virtual time.
+
+They check which build is blamed and which builds are rolled back.
+"""
 
 from __future__ import annotations
 
--- a/tests/decisions/attribution/test_candidate_checks.py
+++ b/tests/decisions/attribution/test_candidate_checks.py
@@ -1,4 +1,4 @@
-"""What a build is blamed for, what holds it, and when a candidate was seen well enough."""
+"""What a build is blamed for, what holds it, and when a candidate has enough evidence for a promotion."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 def server_samples(
     build: int, servers: int, attempts: int, failed: int = 0, latency: float = 0.1
 ) -> list[Sample]:
-    """Samples of servers alternately in zones a and b; each with so many attempts over twenty slices."""
+    """Return samples of servers in zones a and b by turns, each with `attempts` over twenty slices."""
     evidence = Evidence()
     for number in range(servers):
         zone = "ab"[number % 2]
--- a/tests/decisions/attribution/test_comparison.py
+++ b/tests/decisions/attribution/test_comparison.py
@@ -1,4 +1,4 @@
-"""One build against the baseline, on evidence made by hand."""
+"""Comparison of one build with the baseline on constructed evidence."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 def samples(*servers: tuple[str, int, int, int, float]) -> list[Sample]:
-    """Samples of servers by name, build, attempts, failures and latency in objectives, over twenty slices."""
+    """Return samples over twenty slices.
+
+    Each server has a name, a build, numbers of attempts and failures, and a latency as a multiple of the
+    latency objective.
+    """
     evidence = Evidence()
     for name, build, attempts, failed, latency in servers:
         for number in range(attempts):
--- a/tests/decisions/attribution/test_evaluators.py
+++ b/tests/decisions/attribution/test_evaluators.py
@@ -1,4 +1,4 @@
-"""Which instances evaluate, and whose assessments count for how long."""
+"""Which instances evaluate, and whose assessments are used for how long."""
 
 from __future__ import annotations
 
--- a/tests/decisions/attribution/test_evidence.py
+++ b/tests/decisions/attribution/test_evidence.py
@@ -1,4 +1,4 @@
-"""The sums over attempts: merging, age and bounds."""
+"""Sums over attempts: merging, expiry of slices, and limits."""
 
 from __future__ import annotations
 
--- a/tests/decisions/attribution/test_latency_series.py
+++ b/tests/decisions/attribution/test_latency_series.py
@@ -1,4 +1,4 @@
-"""The series that slowdown models are fitted to."""
+"""The time series that the slowdown models are fitted to."""
 
 from __future__ import annotations
 
@@ -28,7 +28,8 @@
     series, attempts = observe_series(1009.0, evidence, {2})
     complete = 10 - INCOMPLETE_SLICES
     assert attempts == 6 + 8 * (complete - 1)
-    assert np.allclose(series.means, np.zeros(complete))  # above the route's own mean, which nothing leaves
+    # Means are relative to the mean of the route, and all latencies are equal.
+    assert np.allclose(series.means, np.zeros(complete))
     assert np.allclose(series.loads, 3.0)
     assert series.shares[2].tolist() == [0.0, 0.125, *[0.25] * (complete - 2)]
 
--- a/tests/decisions/attribution/test_slowdown_models.py
+++ b/tests/decisions/attribution/test_slowdown_models.py
@@ -1,4 +1,4 @@
-"""Which model explains a slowdown, on series drawn from a seed."""
+"""Which model explains a slowdown, on seeded random series."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def series(slowdown_at: Callable[[int], float], seed: int) -> LatencySeries:
-    """Forty seconds in which build 2 moves at 8, 16 and 26 s and build 3 at 20 s."""
+    """Return 40 s in which the share of build 2 rises at 8, 16 and 26 s, that of build 3 at 12 and 20 s."""
     random = np.random.default_rng(seed)
     share_of_2 = np.array(
         [
@@ -24,7 +24,8 @@
     loads = np.array([60.0 * (1.7 if 18 <= second < 30 else 1.0) for second in range(40)])
     means = np.array([slowdown_at(second) for second in range(40)]) + random.normal(0, 0.15, 40)
     shares = {2: share_of_2, 3: share_of_3}
-    if slowdown_at(18) < 0:  # a case without a burst
+    # A slowdown below 0 means a case without a burst of load.
+    if slowdown_at(18) < 0:
         loads = np.full(40, 60.0)
     return LatencySeries(means, np.full(40, 0.01), loads, shares)
 
--- a/tests/decisions/attribution/test_traffic_reduction.py
+++ b/tests/decisions/attribution/test_traffic_reduction.py
@@ -1,4 +1,4 @@
-"""When a candidate's traffic is reduced, by whom, and for how long."""
+"""When the traffic of a candidate is reduced, by which instance, and for how long."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def build_to_reduce(attribution: Attribution, now: float) -> int:
-    """What the instance would reduce while the cause is unknown and build 3 the most likely one."""
+    """Return the build that is reduced if the cause is unknown and build 3 is the most likely one."""
     return attribution.build_to_reduce(now, Finding(Cause.UNKNOWN, 3), (), can_absorb_traffic=True)
 
 
@@ -34,7 +34,8 @@
         simulation.now += 5.0
         second.receive_assessment(simulation.now, 0, Assessment(unknown, reduced_build=announced_build))
         assert build_to_reduce(second, simulation.now) == announced_build
-    simulation.now += 10.0  # the first evaluator isn't heard any more
+    # The assessment of the first evaluator has expired.
+    simulation.now += 10.0
     assert build_to_reduce(second, simulation.now) == 0
     simulation.now += 3.0
     assert build_to_reduce(second, simulation.now) == 3
@@ -48,7 +49,8 @@
     second.set_reduction_request_callback(requests.append)
     assert build_to_reduce(first, simulation.now) == 0
     simulation.now += 3.0
-    assert build_to_reduce(first, simulation.now) == 0 and requests == [3]  # not before it is stored
+    # The reduction does not begin before the request is stored.
+    assert build_to_reduce(first, simulation.now) == 0 and requests == [3]
     first.begin_traffic_reduction(simulation.now, 3)
     assert build_to_reduce(first, simulation.now) == 3
     second.set_leader(simulation.now, 2, 6, reduced_build=3)
--- a/tests/decisions/attribution/test_transitions.py
+++ b/tests/decisions/attribution/test_transitions.py
@@ -1,4 +1,4 @@
-"""How long conclusions wait after a candidate changed."""
+"""How long conclusions are delayed after a change of a candidate."""
 
 from __future__ import annotations
 
--- a/tests/decisions/attribution/test_votes.py
+++ b/tests/decisions/attribution/test_votes.py
@@ -1,4 +1,4 @@
-"""What assessments make of a candidate: its vote, its limit and its failing routes."""
+"""Effects of assessments on a candidate: its vote, its limit factor and its failing routes."""
 
 from __future__ import annotations
 
--- a/tests/decisions/attribution/test_zone_slowdown.py
+++ b/tests/decisions/attribution/test_zone_slowdown.py
@@ -1,4 +1,4 @@
-"""Whether a slowdown belongs to one zone."""
+"""Whether a slowdown is limited to one zone."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 
 def find_with_latency(latency: Callable[[str, bool], float], build: int = 1) -> tuple[Cause, str]:
-    """The finding where latency, in objectives, depends on the zone and on whether it is recent."""
+    """Return cause and zone of the finding.
+
+    `latency` takes the zone and whether the attempt is recent, and returns a multiple
+    of the latency objective.
+    """
     evidence = Evidence()
     for second in range(1000, 1020):
         for zone in "ab":
--- a/tests/support/attribution_scene.py
+++ b/tests/support/attribution_scene.py
@@ -1,4 +1,4 @@
-"""Instances with two candidates among seeded traffic, for the tests of attribution."""
+"""Simulates instances with two candidates and seeded random traffic, for the tests of attribution."""
 
 from __future__ import annotations
 
@@ -26,28 +26,33 @@
 
 
 def make_server(name: str, build: int, started_at: float = 0.0) -> Server:
-    """A ready server; its zone is the first letter of its name."""
+    """Return a ready server; its zone is the first letter of its name."""
     return Server(Endpoint(name, name[0], 0, build, EndpointState.READY, 1.0, started_at), 0.5, 0.0)
 
 
 class TrafficSimulation:
-    """Instances that see traffic drawn from a seed; `slower` and `fails` are asked for each attempt."""
+    """Instances whose attempts are drawn from a seeded random generator.
+
+    Attributes:
+        attempts_per_second: Rate of attempts over all instances.
+        isolated_instances: Numbers of the instances that receive nothing and whose assessments are lost.
+        latency_factor: Returns the factor on the latency of an attempt, by server and time.
+        failure_probability: Returns the probability that an attempt fails, by server and time.
+    """
 
     def __init__(
         self, instance_count: int = 1, attempts_per_second: float = 60.0, one_way: bool = False, seed: int = 1
     ) -> None:
         self.random = random.Random(seed)
         self.now = 1000.0
-        self.attempts_per_second = attempts_per_second  # attempts a second
+        self.attempts_per_second = attempts_per_second
         self.attributions = [
             Attribution(number, instance_count, instance_count > 1, one_way)
             for number in range(instance_count)
         ]
         for number, attribution in enumerate(self.attributions):
             attribution.connect_peers(self.send_samples, partial(self.send_assessment, number))
-        self.isolated_instances: set[int] = (
-            set()
-        )  # instances that receive nothing and whose assessments are lost
+        self.isolated_instances: set[int] = set()
         self.servers = [make_server(f"{ZONES[number % 3]}{number}", 1) for number in range(12)]
         self.servers += [make_server(f"{ZONES[number % 3]}x{number}", 2) for number in range(3)]
         self.servers += [make_server(f"{ZONES[number % 3]}y{number}", 3) for number in range(3)]
@@ -69,7 +74,7 @@
             self.attributions[peer].receive_assessment(self.now, sender, assessment)
 
     def run(self, duration: float, watched_instance: int = 0) -> list[CandidateVote[Candidate]]:
-        """Let traffic flow for so many seconds; return what the watched instance votes at the end."""
+        """Simulate `duration` seconds of traffic; return the last votes of the watched instance."""
         last_votes: list[CandidateVote[Candidate]] = []
         for _ in range(round(duration / 0.25)):
             self.now += 0.25
