--- a/gullmount/decisions/attribution/candidate_checks.py
+++ b/gullmount/decisions/attribution/candidate_checks.py
@@ -196,8 +196,7 @@
 def only_failing_segment(failures: Mapping[str, FailureComparison]) -> str:
     """Return the only zone or route that fails, or an empty string if the failures are not limited to one.
 
-    They are not known to be limited to one while the others have so few attempts that they may have no
-    failure by chance.
+    It is also empty if the others have so few attempts that they may have no failure by chance alone.
     """
     failing_segments = [segment for segment, comparison in failures.items() if comparison.failed]
     if len(failing_segments) != 1 or len(failures) == 1:
--- a/gullmount/decisions/attribution/general_slowdown.py
+++ b/gullmount/decisions/attribution/general_slowdown.py
@@ -45,7 +45,7 @@
 class Suspect(NamedTuple):
     """The build whose share explains the slowdown much better than other causes do; 0 for none.
 
-    `since` is the time in seconds since which that is so.
+    `since` is the time in seconds at which that began.
     """
 
     build: int
--- a/gullmount/decisions/attribution/traffic_reduction.py
+++ b/gullmount/decisions/attribution/traffic_reduction.py
@@ -40,8 +40,8 @@
         is_allowed: Whether keys may return to an earlier build at all.
         build: The build whose traffic was reduced last; 0 for none.
         started_at: Start of that reduction, in seconds.
-        unknown_since: Time since which the cause of a slowdown is unknown, in seconds; None while it is
-            known.
+        unknown_since: Start of the period in which the cause of a slowdown is unknown, in seconds; None
+            outside such a period.
         requested_by_leader: Whether the reduction was granted to this instance as the leader.
         request_reduction: Called by the leader instead of beginning a reduction; `begin` is called once the
             request is granted.
