--- a/gullmount/decisions/attribution/comparison.py
+++ b/gullmount/decisions/attribution/comparison.py
@@ -1,7 +1,7 @@
-"""One build against the baseline over the same seconds: failures by an exact test, latency by server.
+"""Compares one build with the baseline over the same seconds: failures by an exact test, latency by server.
 
-Latencies are logarithms in octaves (a factor of two) of the route's latency objective. Whether a result is
-enough to blame a build or to hold it is decided in `candidate_checks`.
+Latencies are logarithms to base 2 of the ratio to the latency objective of the route; one octave is a factor
+of two. `candidate_checks` decides whether a result is enough to blame a build or to hold it.
 """
 
 from __future__ import annotations
@@ -15,24 +15,48 @@
 
 from gullmount.decisions.attribution.evidence import Sample, SampleKey
 
-IGNORED_SERVERS_SHARE = 0.25  # of a build's servers, the most failing: one broken machine blames no build
-MIN_BASELINE_LATENCIES = 3  # of the baseline in a slice pair and route, for it to be compared
-MIN_SERVER_LATENCIES = 2  # of a server, for it to be compared
-MIN_BASELINE_SERVERS = 3  # to estimate how much servers differ
-MIN_ZONE_LATENCIES = 8  # of the baseline in a zone, to estimate the zone's distance
-MIN_SERVER_DEVIATION = 0.15  # octaves, between healthy servers: machines aren't alike
-UNKNOWN_SERVER_VARIANCE = MIN_SERVER_DEVIATION**2 * 4  # octaves squared, with too few baseline servers
-BUILD_DEVIATION = 0.2  # octaves, between the servers of healthy builds: they aren't loaded alike
-SINGLE_SERVER_DEVIATION = 0.25  # octaves more for a lone server, so that a busy machine blames no build
-SLICES_COMPARED = 2  # slices taken together as the same seconds
-DEFAULT_LATENCY_VARIANCE = 1.0  # octaves squared, where no server has two latencies
+# Share of the servers of a build that is ignored, those with the most failures first: one broken machine is
+# not the fault of the build.
+IGNORED_SERVERS_SHARE = 0.25
 
-IsBaseline = Callable[[int], bool]  # whether a build belongs to the baseline
+# A group of SLICES_PER_COMPARISON slices is skipped on a route where the baseline has fewer latencies.
+MIN_BASELINE_LATENCIES = 3
+
+# Servers with fewer latencies are not compared.
+MIN_SERVER_LATENCIES = 2
+
+# With fewer baseline servers, the variance between servers is not estimated.
+MIN_BASELINE_SERVERS = 3
+
+# With fewer latencies of the baseline in a zone, the latency offset of the zone is not estimated.
+MIN_ZONE_LATENCIES = 8
+
+# Lower limit of the standard deviation between healthy servers, whose machines differ.
+MIN_SERVER_DEVIATION_OCTAVES = 0.15
+
+# Variance between servers with too few baseline servers, in octaves squared.
+DEFAULT_SERVER_VARIANCE = MIN_SERVER_DEVIATION_OCTAVES**2 * 4
+
+# Standard deviation between the servers of different healthy builds, which have different loads.
+BUILD_DEVIATION_OCTAVES = 0.2
+
+# Additional standard deviation of a build with a single server, so that a busy machine is not taken for a
+# slow build. With more servers, its variance is divided by their number.
+SINGLE_SERVER_DEVIATION_OCTAVES = 0.25
+
+# Number of consecutive slices that are compared as the same period.
+SLICES_PER_COMPARISON = 2
+
+# Variance of single latencies in octaves squared, if no server has two latencies.
+DEFAULT_LATENCY_VARIANCE = 1.0
+
+# Returns whether a build belongs to the baseline.
+IsBaseline = Callable[[int], bool]
 
 
 @dataclass
 class AttemptCounts:
-    """Attempts and the failed ones among them."""
+    """Number of attempts, and of the failed ones among them."""
 
     attempts: int = 0
     failed: int = 0
@@ -40,7 +64,7 @@
 
 @dataclass(frozen=True)
 class FailureComparison:
-    """Failures of a build against the baseline's; `p_value` is the probability of so many by chance."""
+    """Failures of a build compared with the baseline; `p_value` is the probability of so many by chance."""
 
     attempts: int
     failed: int
@@ -50,28 +74,28 @@
 
     @property
     def excess(self) -> float:
-        """By how much the build's share of failures exceeds the baseline's."""
+        """Failure rate of the build minus that of the baseline."""
         return self.failed / max(1, self.attempts) - self.baseline_failed / max(1, self.baseline_attempts)
 
     def summary(self) -> str:
         """Return the figures for people."""
         return (
-            f"errors {self.failed} of {self.attempts} against {self.baseline_failed} of "
-            f"{self.baseline_attempts}"
+            f"failed {self.failed} of {self.attempts} attempts, "
+            f"baseline {self.baseline_failed} of {self.baseline_attempts}"
         )
 
 
 @dataclass(frozen=True)
 class LatencyComparison:
-    """Latency of a build's servers against the baseline's.
+    """Latency of the servers of a build compared with those of the baseline.
 
     Attributes:
-        ratio: How many times slower the build is.
-        p_value: The probability of such a ratio by chance.
-        servers: Number of the build's servers that were compared.
-        baseline_servers: The same of the baseline.
-        timed: Latencies of the build that were compared.
-        deviation: Standard deviation of the ratio's logarithm, in octaves.
+        ratio: Mean latency of the build divided by that of the baseline.
+        p_value: Probability of such a ratio by chance.
+        servers: Number of compared servers of the build.
+        baseline_servers: Number of compared servers of the baseline.
+        timed: Number of compared latencies of the build.
+        deviation: Standard deviation of the logarithm of the ratio, in octaves.
     """
 
     ratio: float
@@ -84,21 +108,24 @@
     def summary(self) -> str:
         """Return the figures for people."""
         return (
-            f"times {self.ratio:.2f} as long at {self.servers} boxes ({self.timed} tries) "
-            f"as at {self.baseline_servers} others"
+            f"latency {self.ratio:.2f} times that of the baseline "
+            f"({self.servers} servers, {self.timed} attempts; {self.baseline_servers} baseline servers)"
         )
 
 
-def upper_tail(count: int, total: int, share: float) -> float:
-    """Return the probability that at least `count` of `total` fall into a part of this share."""
+def binomial_upper_tail(count: int, total: int, probability: float) -> float:
+    """Return the probability of at least `count` successes in `total` trials of this probability."""
     return min(
         1.0,
-        sum(comb(total, k) * share**k * (1 - share) ** (total - k) for k in range(count, total + 1)),
+        sum(
+            comb(total, k) * probability**k * (1 - probability) ** (total - k)
+            for k in range(count, total + 1)
+        ),
     )
 
 
 def compare_failures(samples: Iterable[Sample], build: int, is_baseline: IsBaseline) -> FailureComparison:
-    """Compare the failures of a build, its most failing servers left out, with the baseline's."""
+    """Compare the failures of a build, without its servers that fail most, with those of the baseline."""
     by_server: dict[str, AttemptCounts] = defaultdict(AttemptCounts)
     baseline = AttemptCounts()
     for _, key, sums in samples:
@@ -116,28 +143,30 @@
     failed = sum(counts.failed for counts in kept)
     p_value = 1.0
     if failed and baseline.attempts:
-        p_value = upper_tail(failed, failed + baseline.failed, attempts / (attempts + baseline.attempts))
+        p_value = binomial_upper_tail(
+            failed, failed + baseline.failed, attempts / (attempts + baseline.attempts)
+        )
     return FailureComparison(attempts, failed, baseline.attempts, baseline.failed, p_value)
 
 
 @dataclass(slots=True)
 class LatencySums:
-    """Number and sum of latencies, in octaves."""
+    """Number and sum of latencies, the sum in octaves."""
 
     count: int = 0
     total: float = 0.0
 
     @property
     def mean(self) -> float:
-        """The mean latency in octaves; at least one must have been added."""
+        """Mean latency in octaves; raises ZeroDivisionError if there is no latency."""
         return self.total / self.count
 
 
 @dataclass(slots=True)
 class ServerSums:
-    """Latencies of one server with one build, in octaves above the baseline's mean.
+    """Sums over the latencies of one server running one build, in octaves above the mean of the baseline.
 
-    A server that changes its build is two.
+    A server that changes its build has separate sums for each build.
     """
 
     build: int
@@ -162,29 +191,34 @@
 
 
 class ServerLatencies:
-    """How much slower each server is than the baseline in the same seconds on the same routes, in octaves.
+    """Latency of each server relative to the baseline on the same routes in the same seconds, in octaves.
 
-    The distance of a zone, as the baseline's servers there show it, is taken out. Seconds in which the
-    baseline served too little are left out.
+    The latency offset of each zone, as measured at the servers of the baseline there, is subtracted. Seconds
+    with too few latencies of the baseline are left out.
     """
 
     def __init__(self, samples: Sequence[Sample], is_baseline: IsBaseline) -> None:
         self.is_baseline = is_baseline
-        self.servers: dict[tuple[str, int, str], ServerSums] = {}  # by id, build and zone
+        # The key is the id, build and zone of a server.
+        self.servers: dict[tuple[str, int, str], ServerSums] = {}
         self._add_samples(samples)
         self._subtract_zone_offsets()
         self.variance_within = self._variance_within()
         self.variance_between = self._variance_between()
 
     def compare(self, build: int, zone: str = "") -> LatencyComparison:
-        """Compare the build with the baseline, in one zone or (by default) in all."""
-        own = self._means(lambda at_build, at_zone: at_build == build and zone in ("", at_zone))
-        baseline = self._means(lambda at_build, at_zone: self.is_baseline(at_build) and zone in ("", at_zone))
+        """Compare the build with the baseline in one zone, or in all zones by default."""
+        own = self._means(
+            lambda server_build, server_zone: server_build == build and zone in ("", server_zone)
+        )
+        baseline = self._means(
+            lambda server_build, server_zone: self.is_baseline(server_build) and zone in ("", server_zone)
+        )
         timed = int(sum(mean.timed for mean in own))
         if not own or not baseline:
             return LatencyComparison(1.0, 1.0, len(own), len(baseline), timed)
         mean, baseline_mean = self._pooled(own), self._pooled(baseline)
-        variance_of_build = BUILD_DEVIATION**2 + SINGLE_SERVER_DEVIATION**2 / len(own)
+        variance_of_build = BUILD_DEVIATION_OCTAVES**2 + SINGLE_SERVER_DEVIATION_OCTAVES**2 / len(own)
         deviation = sqrt(mean.variance + baseline_mean.variance + variance_of_build)
         difference = mean.value - baseline_mean.value
         p_value = 1 - NormalDist().cdf(difference / deviation)
@@ -194,16 +228,16 @@
         baseline: dict[tuple[int, str], LatencySums] = defaultdict(LatencySums)
         for slice_number, key, sums in samples:
             if self.is_baseline(key.build) and sums.timed:
-                reference = baseline[slice_number // SLICES_COMPARED, key.route]
+                reference = baseline[slice_number // SLICES_PER_COMPARISON, key.route]
                 reference.count += sums.timed
                 reference.total += sums.total
         baseline_means = {
-            part: reference.mean
-            for part, reference in baseline.items()
+            slices_and_route: reference.mean
+            for slices_and_route, reference in baseline.items()
             if reference.count >= MIN_BASELINE_LATENCIES
         }
         for slice_number, key, sums in samples:
-            mean = baseline_means.get((slice_number // SLICES_COMPARED, key.route))
+            mean = baseline_means.get((slice_number // SLICES_PER_COMPARISON, key.route))
             if mean is not None and sums.timed:
                 server = self._server(key)
                 server.count += sums.timed
@@ -230,35 +264,35 @@
             server.total -= server.count * offset
 
     def _variance_within(self) -> float:
-        """Return the variance of single latencies at one server."""
-        freedom = spread = 0.0
+        """Return the variance of single latencies at one server, in octaves squared."""
+        degrees_of_freedom = spread = 0.0
         for server in self.servers.values():
             if server.count > 1:
-                freedom += server.count - 1
+                degrees_of_freedom += server.count - 1
                 spread += server.squares - server.total * server.total / server.count
-        return spread / freedom if freedom else DEFAULT_LATENCY_VARIANCE
+        return spread / degrees_of_freedom if degrees_of_freedom else DEFAULT_LATENCY_VARIANCE
 
     def _variance_between(self) -> float:
-        """Return the variance of the mean latencies of healthy servers."""
+        """Return the variance between the mean latencies of baseline servers, in octaves squared."""
         means = self._means(lambda build, _zone: self.is_baseline(build))
         if len(means) < MIN_BASELINE_SERVERS:
-            return UNKNOWN_SERVER_VARIANCE
+            return DEFAULT_SERVER_VARIANCE
         weight = sum(mean.timed for mean in means)
-        middle = sum(mean.timed * mean.value for mean in means) / weight
-        spread = sum((mean.value - middle) ** 2 for mean in means) / (len(means) - 1)
-        by_chance = sum(self.variance_within / mean.timed for mean in means) / len(means)
-        return float(max(MIN_SERVER_DEVIATION**2, spread - by_chance))
+        grand_mean = sum(mean.timed * mean.value for mean in means) / weight
+        spread = sum((mean.value - grand_mean) ** 2 for mean in means) / (len(means) - 1)
+        expected_spread = sum(self.variance_within / mean.timed for mean in means) / len(means)
+        return float(max(MIN_SERVER_DEVIATION_OCTAVES**2, spread - expected_spread))
 
-    def _means(self, is_wanted: Callable[[int, str], bool]) -> list[Mean]:
-        """Return the mean of each server whose build and zone are wanted."""
+    def _means(self, is_selected: Callable[[int, str], bool]) -> list[Mean]:
+        """Return the mean latency of each server whose build and zone are selected."""
         return [
             Mean(server.count, server.total / server.count)
             for server in self.servers.values()
-            if server.count >= MIN_SERVER_LATENCIES and is_wanted(server.build, server.zone)
+            if server.count >= MIN_SERVER_LATENCIES and is_selected(server.build, server.zone)
         ]
 
     def _pooled(self, means: Iterable[Mean]) -> Estimate:
-        """Return the mean over servers; a server counts by how well its own mean is known."""
+        """Return the mean over servers, each weighted by the inverse variance of its own mean."""
         weights = [
             (1 / (self.variance_between + self.variance_within / mean.timed), mean.value) for mean in means
         ]
--- a/tests/decisions/attribution/test_latency_series.py
+++ b/tests/decisions/attribution/test_latency_series.py
@@ -1,4 +1,4 @@
-"""The series that slowdown models are fitted to."""
+"""The time series that the slowdown models are fitted to."""
 
 from __future__ import annotations
 
@@ -28,7 +28,8 @@
     series, attempts = observe_series(1009.0, evidence, {2})
     complete = 10 - INCOMPLETE_SLICES
     assert attempts == 6 + 8 * (complete - 1)
-    assert np.allclose(series.means, np.zeros(complete))  # above the route's own mean, which nothing leaves
+    # Means are relative to the mean of the route, and all latencies are equal.
+    assert np.allclose(series.means, np.zeros(complete))
     assert np.allclose(series.loads, 3.0)
     assert series.shares[2].tolist() == [0.0, 0.125, *[0.25] * (complete - 2)]
 
@@ -41,5 +42,5 @@
     assert len(series.means) == 4
 
 
-def test_trailing_mean_takes_the_value_before_and_at_the_start_the_first() -> None:
+def test_trailing_mean_averages_with_the_previous_value_and_repeats_the_first() -> None:
     assert trailing_mean(np.array([1.0, 3.0, 5.0])).tolist() == [1.0, 2.0, 4.0]
