--- a/benchmarks/platform_load.py
+++ b/benchmarks/platform_load.py
@@ -16,11 +16,11 @@
 from gullmount.scale.process_usage import ProcessUsage, process_usage
 from tests.support.platform_world import (
     ProxyProcess,
-    World,
+    StubPlatform,
     configuration,
+    fixed_response_server,
     read_message,
     request_bytes,
-    server_answering,
 )
 
 SERVERS = 15
@@ -65,10 +65,12 @@
 async def main() -> None:
     """Run the load and print its figures."""
     rate, seconds = float(sys.argv[1]), float(sys.argv[2])
-    world = World()
+    world = StubPlatform()
     await world.serve_platform()
     for number in range(SERVERS):
-        await world.add_server(FIRST_SERVER_PORT + number, server_answering(RESPONSE, SERVER_LATENCY_SECONDS))
+        await world.add_server(
+            FIRST_SERVER_PORT + number, fixed_response_server(RESPONSE, SERVER_LATENCY_SECONDS)
+        )
     with tempfile.TemporaryDirectory() as folder:
         known = {"revision": 1, "complete": True, "members": world.members}
         proxy = ProxyProcess(Path(folder), configuration(known=known))
--- a/tests/platform/test_descriptor_shortage.py
+++ b/tests/platform/test_descriptor_shortage.py
@@ -7,7 +7,13 @@
 import resource
 from pathlib import Path
 
-from tests.support.platform_world import ProxyProcess, World, configuration, request_bytes, server_answering
+from tests.support.platform_world import (
+    ProxyProcess,
+    StubPlatform,
+    configuration,
+    fixed_response_server,
+    request_bytes,
+)
 
 CLIENTS = 12
 SERVERS = 4  # one has room for four requests at once
@@ -28,13 +34,13 @@
 
     async def ask(running: ProxyProcess, number: int) -> bytes:
         within = SHORTAGE_SECONDS + 2.0
-        return await running.request(request_bytes(f"r{number}", patience="2000"), within)
+        return await running.request(request_bytes(f"r{number}", timeout_ms="2000"), within)
 
     async def scene() -> None:
-        world = World()
+        world = StubPlatform()
         await world.serve_platform()
         for number in range(SERVERS):
-            await world.add_server(8120 + number, server_answering(OK))
+            await world.add_server(8120 + number, fixed_response_server(OK))
         known = {"revision": 1, "complete": True, "members": world.members}
         running = ProxyProcess(tmp_path, configuration(known=known))
         await running.start()
--- a/tests/platform/test_discovery_watch.py
+++ b/tests/platform/test_discovery_watch.py
@@ -22,8 +22,8 @@
     SINGLE_INSTANCE_REFUSED_BACKOFF_SECONDS,
 )
 from gullmount.net import STREAM_ERRORS, Stream
-from tests.support.platform_scene import Scene, answer_ok, never_answer
-from tests.support.platform_scene import play as play_virtual
+from tests.support.platform_scene import InMemoryProxy, never_respond, respond_ok
+from tests.support.platform_scene import run_in_virtual_time as run_virtual
 from tests.support.platform_world import HOST, OK
 from tests.support.race_scenes import (
     DISCOVERY_PORT,
@@ -273,7 +273,7 @@
                 assert (await receive_message(asking)).endswith(b"\r\n\r\nok")
             with pytest.raises((EOFError, ConnectionError)):
                 await receive_message(servers[1])
-            made.apply_endpoint_page(member(1, up=1_700_000_000_000))
+            made.apply_endpoint_page(member(1, started_at_ms=1_700_000_000_000))
             first.sendall(request_bytes("a3"))
             server = await accept(made.server_listener)
             await receive_message(server)
@@ -317,7 +317,7 @@
         await stream.send(page(9, member(1, phase="gone")))
         await anyio.sleep_forever()
 
-    async def act(scene: Scene) -> None:
+    async def act(scene: InMemoryProxy) -> None:
         discovery = scene.instance.discovery
         await anyio.sleep(max(0.0, max(fell, calls[0]) + NOTIFIED_AFTER_SECONDS - anyio.current_time()))
         answer = await scene.request(request_bytes("a1"))
@@ -330,7 +330,7 @@
                 await anyio.sleep(0.01)
         assert not discovery.freshness.is_stale(scene.instance.clock())
 
-    play_virtual(tmp_path, answer_ok, act, {DISCOVERY_PORT: discovery})
+    run_virtual(tmp_path, respond_ok, act, {DISCOVERY_PORT: discovery})
 
 
 @pytest.mark.parametrize("end", ["reset", "refused"])
@@ -348,7 +348,7 @@
             pass
         stream.abort()  # type: ignore[attr-defined]
 
-    async def act(scene: Scene) -> None:
+    async def act(scene: InMemoryProxy) -> None:
         await anyio.sleep(600)
         pauses = [later - call for call, later in pairwise(calls)]
         assert (
@@ -359,7 +359,7 @@
         assert min(pauses[8:]) >= BACKOFF_JITTER_FACTORS[0] * MAX_BACKOFF_SECONDS
         assert max(pauses) <= BACKOFF_JITTER_FACTORS[1] * MAX_BACKOFF_SECONDS + 0.1
 
-    play_virtual(tmp_path, never_answer, act, {DISCOVERY_PORT: discovery})
+    run_virtual(tmp_path, never_respond, act, {DISCOVERY_PORT: discovery})
 
 
 @pytest.mark.parametrize("wrapped", [False, True])
@@ -378,7 +378,7 @@
     """Where the network says that discovery is not to be had nothing can be told, and the list holds. Where
     this machine lacks something a change counts as told all the same, and requests are turned away."""
 
-    async def act(scene: Scene) -> None:
+    async def act(scene: InMemoryProxy) -> None:
         real = scene.net.connect
 
         async def connect(address: str) -> Stream:
@@ -395,4 +395,4 @@
         answer = await scene.request(request_bytes("a1"))
         assert answer.endswith(b"\r\n\r\nok") if served else answer.startswith(b"HTTP/1.1 503"), answer
 
-    play_virtual(tmp_path, answer_ok, act)
+    run_virtual(tmp_path, respond_ok, act)
--- a/tests/platform/test_fuzz.py
+++ b/tests/platform/test_fuzz.py
@@ -16,8 +16,22 @@
 from gullmount.net import STREAM_ERRORS, Stream
 from gullmount.platform.configuration import InvalidConfigurationError, read_configuration
 from tests.support.decisions import RouterHarness
-from tests.support.platform_scene import SERVER, Scene, Script, ServerAnswer, answer_ok, play
-from tests.support.platform_world import HOST, OK, configuration, endpoint_entry, list_answer, request_bytes
+from tests.support.platform_scene import (
+    SERVER_ADDRESS,
+    ConnectionHandler,
+    InMemoryProxy,
+    RequestHandler,
+    respond_ok,
+    run_in_virtual_time,
+)
+from tests.support.platform_world import (
+    HOST,
+    OK,
+    configuration,
+    endpoint_entry,
+    endpoint_list_response,
+    request_bytes,
+)
 
 quiet = settings(
     derandomize=True, max_examples=60, deadline=None, database=None,
@@ -99,7 +113,9 @@
 
 # What is written on connections
 
-FULL_LIST = json.dumps({"revision": 2, "complete": True, "members": [endpoint_entry("s-1", SERVER)]}).encode()
+FULL_LIST = json.dumps(
+    {"revision": 2, "complete": True, "members": [endpoint_entry("s-1", SERVER_ADDRESS)]}
+).encode()
 LISTS = st.one_of(
     st.binary(max_size=40),
     st.sampled_from([
@@ -115,7 +131,7 @@
             st.builds(
                 lambda field, value: json.dumps({
                     "revision": 2, "complete": False,
-                    "members": [endpoint_entry("s-1", SERVER) | {field: value}],
+                    "members": [endpoint_entry("s-1", SERVER_ADDRESS) | {field: value}],
                 }).encode(),
                 st.sampled_from(sorted({*endpoint_entry("", "")} - {"phase", "host_port", "id"})), JSON,
             ),
@@ -145,7 +161,7 @@
 ])  # fmt: skip
 
 
-def writing(pieces: list[bytes], closes: bool) -> Script:
+def writing(pieces: list[bytes], closes: bool) -> ConnectionHandler:
     async def script(stream: Stream) -> None:
         try:
             for piece in pieces:
@@ -162,11 +178,13 @@
     return script
 
 
-def scene(around: dict[int, Script], answers: ServerAnswer = answer_ok, data: bytes = b"") -> list[bytes]:
+def scene(
+    around: dict[int, ConnectionHandler], answers: RequestHandler = respond_ok, data: bytes = b""
+) -> list[bytes]:
     """What a client got that wrote `data`; whatever it was, the next one is served."""
     got: list[bytes] = []
 
-    async def act(scene: Scene) -> None:
+    async def act(scene: InMemoryProxy) -> None:
         await anyio.sleep(1)
         if data:
             stream = await scene.net.connect(f"{HOST}:8100")
@@ -186,7 +204,7 @@
         got.append(last)
 
     with tempfile.TemporaryDirectory() as folder:
-        play(Path(folder), answers, act, around)
+        run_in_virtual_time(Path(folder), answers, act, around)
     return got
 
 
@@ -200,7 +218,7 @@
     async def discovery(stream: Stream) -> None:
         calls.append(await stream.receive())
         if len(calls) == 1:
-            await stream.send(list_answer(1, []))
+            await stream.send(endpoint_list_response(1, []))
             await stream.receive()
         await writing([written], closes)(stream)
 
--- a/tests/platform/test_instance.py
+++ b/tests/platform/test_instance.py
@@ -11,14 +11,20 @@
 
 from gullmount.net import STREAM_ERRORS, Stream
 from gullmount.proxy.protocol_adapter import CONNECTION_REUSE_DELAY_SECONDS
-from tests.support.platform_scene import Scene, ServerAnswer, answer_ok, never_answer, play
+from tests.support.platform_scene import (
+    InMemoryProxy,
+    RequestHandler,
+    never_respond,
+    respond_ok,
+    run_in_virtual_time,
+)
 from tests.support.platform_world import HOST, OK, request_bytes
 
 
 def test_a_connection_to_a_server_is_used_again_until_it_was_idle_for_the_configured_time(
     tmp_path: Path,
 ) -> None:
-    async def act(scene: Scene) -> None:
+    async def act(scene: InMemoryProxy) -> None:
         for number in range(3):
             assert (await scene.request(request_bytes(f"a{number}"))).endswith(b"\r\n\r\nok")
             await anyio.sleep(CONNECTION_REUSE_DELAY_SECONDS + 0.001)
@@ -31,31 +37,31 @@
         assert (await scene.request(request_bytes("b1"))).endswith(b"\r\n\r\nok")
         assert scene.connections == 2
 
-    play(tmp_path, answer_ok, act)
+    run_in_virtual_time(tmp_path, respond_ok, act)
 
 
 def test_timeout_ends_an_attempt_and_its_connection_and_nothing_is_left(tmp_path: Path) -> None:
-    async def act(scene: Scene) -> None:
+    async def act(scene: InMemoryProxy) -> None:
         begun = anyio.current_time()
-        got = await scene.request(request_bytes("a1", "submit-exam", patience="900", body=b"x"))
+        got = await scene.request(request_bytes("a1", "submit-exam", timeout_ms="900", body=b"x"))
         assert got.startswith(b"HTTP/1.1 504 ") and 0.8 < anyio.current_time() - begun < 0.9
         assert scene.instance.runtime.upstream.open_connections == 0 and not scene.instance.runtime.exchanges
         assert not scene.instance.adapter.request_ids.in_flight
         await anyio.sleep(3)
         assert not scene.instance.listener.connections and not scene.instance.runtime.timers.pending[4:]
 
-    play(tmp_path, never_answer, act)
+    run_in_virtual_time(tmp_path, never_respond, act)
 
 
 async def cut_short(stream: Stream, data: bytes) -> None:
     await stream.send(OK[:-1])
 
 
-@pytest.mark.parametrize(("answers", "wanted"), [(never_answer, "timeout"), (cut_short, "reset")])
+@pytest.mark.parametrize(("answers", "wanted"), [(never_respond, "timeout"), (cut_short, "reset")])
 def test_an_answer_that_stops_short_is_no_slow_server(
-    tmp_path: Path, answers: ServerAnswer, wanted: str
+    tmp_path: Path, answers: RequestHandler, wanted: str
 ) -> None:
-    async def act(scene: Scene) -> None:
+    async def act(scene: InMemoryProxy) -> None:
         outcomes: list[str] = []
         ended = scene.instance.runtime.router.attempt_ended
 
@@ -67,12 +73,12 @@
         assert b" 50" in (await scene.request(request_bytes("a1", "submit-exam", body=b"x")))[:13]
         assert outcomes == [wanted]
 
-    play(tmp_path, answers, act)
+    run_in_virtual_time(tmp_path, answers, act)
 
 
 @pytest.mark.parametrize("asks", [0, 1])
 def test_a_client_connection_ends_once_it_is_of_no_use(tmp_path: Path, asks: int) -> None:
-    async def act(scene: Scene) -> None:
+    async def act(scene: InMemoryProxy) -> None:
         stream = await scene.net.connect(f"{HOST}:8100")
         for number in range(asks):
             await stream.send(request_bytes(f"a{number}"))
@@ -82,14 +88,14 @@
             await stream.receive()
         assert anyio.current_time() - begun < (8.5 if asks else 2.8)
 
-    play(tmp_path, answer_ok, act)
+    run_in_virtual_time(tmp_path, respond_ok, act)
 
 
 def test_silent_surroundings_are_left_and_tried_again(tmp_path: Path) -> None:
     """Discovery and release controller accept and say nothing: neither is waited for without end. The list in
     hand is of no use by then: a change counts as told 6 s after a watch fell silent (STANDING.md)."""
 
-    async def act(scene: Scene) -> None:
+    async def act(scene: InMemoryProxy) -> None:
         await anyio.sleep(30)
         assert scene.log.count("discovery_call_failed") >= 3 and scene.log.count("release_watch_ended") >= 4
         assert (await scene.request(request_bytes("a1"))).startswith(
@@ -99,7 +105,7 @@
     async def quiet(stream: Stream) -> None:
         await anyio.sleep_forever()
 
-    play(tmp_path, answer_ok, act, {8101: quiet})
+    run_in_virtual_time(tmp_path, respond_ok, act, {8101: quiet})
 
 
 @pytest.mark.parametrize("tail", [b"", b"noise", b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"])
@@ -119,18 +125,18 @@
         with pytest.raises(STREAM_ERRORS):
             await stream.receive()
 
-    async def act(scene: Scene) -> None:
+    async def act(scene: InMemoryProxy) -> None:
         await anyio.sleep(3.2 - anyio.current_time())
         assert len(calls) == 7 and scene.instance.discovery.endpoints.revision == 7
         assert "discovery_call_failed" not in scene.log
 
-    play(tmp_path, answer_ok, act, {8101: discovery})
+    run_in_virtual_time(tmp_path, respond_ok, act, {8101: discovery})
 
 
 def test_a_loop_that_stood_still_is_noted(tmp_path: Path) -> None:
     """Else slowness that is the proxy's own reads as the servers' and nobody can tell."""
 
-    async def act(scene: Scene) -> None:
+    async def act(scene: InMemoryProxy) -> None:
         await anyio.sleep(6)
         assert "event_loop_delayed" not in scene.log
         clock = scene.instance.runtime.timers.clock
@@ -142,4 +148,4 @@
         await anyio.sleep(5)
         assert scene.log.count("event_loop_delayed") == 1
 
-    play(tmp_path, answer_ok, act)
+    run_in_virtual_time(tmp_path, respond_ok, act)
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -17,14 +17,14 @@
 from tests.support.platform_world import (
     HOST,
     OK,
+    ConnectionHandler,
     ProxyProcess,
-    Script,
-    World,
+    StubPlatform,
     configuration,
     endpoint_entry,
+    fixed_response_server,
     read_message,
     request_bytes,
-    server_answering,
 )
 
 FULL = b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
@@ -37,14 +37,14 @@
 
 def play(
     folder: Path,
-    scripts: list[Script],
-    scene: Callable[[World, ProxyProcess], Awaitable[None]],
+    scripts: list[ConnectionHandler],
+    scene: Callable[[StubPlatform, ProxyProcess], Awaitable[None]],
     **changes: Any,
 ) -> bytes:
     """A scene round a running proxy that knows a server for each script; what it logged."""
 
     async def whole() -> bytes:
-        world = World()
+        world = StubPlatform()
         await world.serve_platform()
         for number, script in enumerate(scripts):
             await world.add_server(8200 + number, script)
@@ -67,7 +67,7 @@
 # Servers
 
 
-def scripted(answer: bytes, end: bool = False, seen: list[bytes] | None = None) -> Script:
+def scripted(answer: bytes, end: bool = False, seen: list[bytes] | None = None) -> ConnectionHandler:
     """Writes `answer` behind each request; `end` closes after it."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -109,7 +109,7 @@
     """A non-retriable request goes out once wherever the answer does not prove that it never ran."""
     seen: list[bytes] = []
 
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         got = await running.request(request_bytes("a1", "submit-exam", body=b"body"))
         assert status(got) == wanted
         assert got.endswith(b"\r\n\r\nok") == (wanted == 200)
@@ -129,7 +129,7 @@
         connections += 1
         await inner(reader, writer)
 
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         for number in range(3):
             assert (await running.request(request_bytes(f"a{number}"))).endswith(b"\r\n\r\nok")
 
@@ -141,15 +141,17 @@
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(-1)
 
-    async def scene(world: World, running: ProxyProcess) -> None:
-        answers = [await running.request(request_bytes(f"a{number}", patience="1900")) for number in range(4)]
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
+        answers = [
+            await running.request(request_bytes(f"a{number}", timeout_ms="1900")) for number in range(4)
+        ]
         assert [status(answer) for answer in answers] == [200] * 4
 
-    play(tmp_path, [silent, server_answering(OK)], scene)
+    play(tmp_path, [silent, fixed_response_server(OK)], scene)
 
 
 def test_no_server_sheds_at_once(tmp_path: Path) -> None:
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         async with asyncio.timeout(0.5):
             got = await running.request(request_bytes("a1"))
         assert status(got) == 503 and b"retry-after" not in got.lower()
@@ -172,13 +174,13 @@
         request_bytes("a1", "submit-exam", body=b"x").replace(
             b"Content-Length: 1", b"Content-Length: 9" + b"9" * 30
         ),
-        request_bytes("a1", "submit-exam", body=b"x", more=b"Transfer-Encoding: chunked\r\n"),
+        request_bytes("a1", "submit-exam", body=b"x", extra_headers=b"Transfer-Encoding: chunked\r\n"),
         request_bytes("a1", "no-such-route"),
-        request_bytes("a1", patience="soon"),
-        request_bytes("a1", patience="-5"),
-        request_bytes("a1", patience="0"),
+        request_bytes("a1", timeout_ms="soon"),
+        request_bytes("a1", timeout_ms="-5"),
+        request_bytes("a1", timeout_ms="0"),
         request_bytes("a1").replace(b"Request-Id: a1\r\n", b""),
-        request_bytes("a1", more=b"Request-Id: a2\r\n"),
+        request_bytes("a1", extra_headers=b"Request-Id: a2\r\n"),
         request_bytes("a1").replace(b"GET", b"POST"),
         request_bytes("a1").replace(b"GET /load-item", b"GET /submit-exam"),
         request_bytes("a1", "submit-exam", body=b"whole body")[:-4],
@@ -189,28 +191,28 @@
 def test_what_cannot_be_a_request_gets_an_error_or_a_close_in_time(tmp_path: Path, data: bytes) -> None:
     seen: list[bytes] = []
 
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         begun = asyncio.get_running_loop().time()
         got = await running.request(data)
         assert asyncio.get_running_loop().time() - begun < 2.9
         assert got == b"" or 400 <= status(got) < 600
         assert status(await running.request(request_bytes("b1"))) == 200
 
-    play(tmp_path, [server_answering(OK, seen=seen)], scene)
+    play(tmp_path, [fixed_response_server(OK, seen=seen)], scene)
     assert len(seen) == 1  # nothing of it reached a server
 
 
 def test_the_id_of_a_request_that_is_open_or_was_lately_reaches_no_server(tmp_path: Path) -> None:
     seen: list[bytes] = []
 
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         first = asyncio.create_task(running.request(request_bytes("a1")))
         await asyncio.sleep(0.1)
         assert status(await running.request(request_bytes("a1"))) == 400
         assert status(await first) == 200
         assert status(await running.request(request_bytes("a1"))) == 400
 
-    play(tmp_path, [server_answering(OK, 0.3, seen)], scene)
+    play(tmp_path, [fixed_response_server(OK, 0.3, seen)], scene)
     assert len(seen) == 1
 
 
@@ -221,7 +223,7 @@
             mark = head.split(b"request-id: ")[1][:2]
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + mark)
 
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         reader, writer = await running.connect()
         writer.write(
             b"".join(request_bytes(f"a{number}") for number in range(4)) + b"GET /healthz HTTP/1.1\r\n\r\n"
@@ -235,7 +237,7 @@
 
 
 def test_silent_connections_leave_room_for_those_that_ask(tmp_path: Path) -> None:
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         silent = [await running.connect() for _ in range(300)]
         for number in range(10):
             assert status(await running.request(request_bytes(f"a{number}"))) == 200
@@ -248,20 +250,20 @@
         for _, writer in silent:
             writer.close()
 
-    play(tmp_path, [server_answering(OK)], scene)
+    play(tmp_path, [fixed_response_server(OK)], scene)
 
 
 def test_timeout_begins_with_the_last_byte_of_a_request_that_is_written_slowly(tmp_path: Path) -> None:
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         reader, writer = await running.connect()
-        data = request_bytes("a1", "submit-exam", patience="500", body=b"slow body")
+        data = request_bytes("a1", "submit-exam", timeout_ms="500", body=b"slow body")
         for part in (data[:40], data[40:-6], data[-6:-3], data[-3:]):
             writer.write(part)
             await asyncio.sleep(0.4)
         assert status((await read_message(reader))[0]) == 200
         writer.close()
 
-    play(tmp_path, [server_answering(OK, 0.1)], scene)
+    play(tmp_path, [fixed_response_server(OK, 0.1)], scene)
 
 
 def test_a_client_that_leaves_cancels_its_attempt(tmp_path: Path) -> None:
@@ -272,7 +274,7 @@
         assert await reader.read() == b""
         ended.set()
 
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         _, writer = await running.connect()
         writer.write(request_bytes("a1", "submit-exam", body=b"x"))
         await asyncio.sleep(0.1)
@@ -298,7 +300,7 @@
     settings = {**configuration()["settings"], "Siblings": 60}
     peers = [f"{HOST}:{8103 + number}" for number in range(60)]
 
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         loop = asyncio.get_running_loop()
         senders = []
         for number in range(1, 9):
@@ -328,7 +330,7 @@
         for sender in (*senders, *strangers):
             sender.close()
 
-    play(tmp_path, [server_answering(OK)], scene, settings=settings, peers=peers)
+    play(tmp_path, [fixed_response_server(OK)], scene, settings=settings, peers=peers)
 
 
 def test_memory_and_descriptors_stay_flat_while_all_that_comes_is_new(tmp_path: Path) -> None:
@@ -338,7 +340,7 @@
         pages = int(Path(f"/proc/{running.process.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE") / 2**20, len(os.listdir(f"/proc/{running.process.pid}/fd"))
 
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         at = [member["host_port"] for member in world.members]
         count = completed = 0
 
@@ -391,13 +393,13 @@
         # What was seen in the last 20 s takes some 3 MB; the requests and what came with them were 33 MB.
         assert after - before < 8 and descriptors_after - descriptors < 12, (before, after)
 
-    play(tmp_path, [server_answering(OK) for _ in range(4)], scene)
+    play(tmp_path, [fixed_response_server(OK) for _ in range(4)], scene)
 
 
 def test_sigterm_goes_on_taking_and_loses_nothing(tmp_path: Path) -> None:
     """Requests in flight, on kept connections and on new ones for 0.4 s are answered; then it exits 0."""
 
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         reader, writer = await running.connect()
         writer.write(request_bytes("k0"))
         await read_message(reader)
@@ -413,53 +415,55 @@
         async with asyncio.timeout(2.5):
             assert await running.process.wait() == 0
 
-    play(tmp_path, [server_answering(OK, 0.15)], scene)
+    play(tmp_path, [fixed_response_server(OK, 0.15)], scene)
 
 
 def test_sighup_moves_to_the_new_addresses_and_loses_nothing(tmp_path: Path) -> None:
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         await asyncio.sleep(0.3)
         assert world.status_streams
         flying = [asyncio.create_task(running.request(request_bytes(f"f{number}"))) for number in range(3)]
         await asyncio.sleep(0.05)
         await world.serve_platform(8111, 8112)
-        before, heard = world.list_answers, len(world.status_streams)
+        before, heard = world.answered_discovery_calls, len(world.status_streams)
         running.path.write_text("{")
         running.process.send_signal(signal.SIGHUP)  # cannot be read: the old one stays
         await asyncio.sleep(0.2)
         assert len(world.status_streams) == heard
         told = {**running.configuration, "discovery": f"{HOST}:8111"}
-        running.write({**told, "platform": {"address": f"{HOST}:8112"}})
+        running.write_configuration({**told, "platform": {"address": f"{HOST}:8112"}})
         running.process.send_signal(signal.SIGHUP)
         world.publish_list()
         async with asyncio.timeout(3):
-            while len(world.status_streams) == heard or world.list_answers == before:
+            while len(world.status_streams) == heard or world.answered_discovery_calls == before:
                 await asyncio.sleep(0.02)
         assert [status(answer) for answer in await asyncio.gather(*flying)] == [200] * 3
 
-    logged = play(tmp_path, [server_answering(OK, 0.3)], scene)
+    logged = play(tmp_path, [fixed_response_server(OK, 0.3)], scene)
     assert logged.count(b"configuration_invalid") == 1 and b"configuration_reloaded" in logged
 
 
 def test_a_server_that_returns_elsewhere_is_found_and_a_malformed_list_changes_nothing(
     tmp_path: Path,
 ) -> None:
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         assert status(await running.request(request_bytes("a1"))) == 200
         world.members = [{"id": "nonsense"}]
         world.publish_list()
         await asyncio.sleep(0.2)
         assert status(await running.request(request_bytes("a2"))) == 200
-        address = await world.serve(8300, server_answering(OK.replace(b"ok", b"ko")))
+        address = await world.serve(8300, fixed_response_server(OK.replace(b"ok", b"ko")))
         world.members = [{**entry_of("s-8200"), "host_port": address, "up_since_ms": 1}]
         world.publish_list()
         async with asyncio.timeout(6):
             while not (
-                await running.request(request_bytes(f"b{world.list_answers}{os.urandom(4).hex()}"))
+                await running.request(
+                    request_bytes(f"b{world.answered_discovery_calls}{os.urandom(4).hex()}")
+                )
             ).endswith(b"ko"):
                 await asyncio.sleep(0.1)
 
-    play(tmp_path, [server_answering(OK)], scene)
+    play(tmp_path, [fixed_response_server(OK)], scene)
 
 
 def entry_of(server: str) -> dict[str, Any]:
@@ -468,7 +472,7 @@
 
 
 def test_noise_from_the_release_controller_ends_that_connection_and_nothing_else(tmp_path: Path) -> None:
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         await asyncio.sleep(0.2)
         world.status_streams[0].write(b"\xff\xfe noise " + b"x" * 9000 + b"\r\n")
         async with asyncio.timeout(3):
@@ -476,4 +480,4 @@
                 await asyncio.sleep(0.02)
         assert status(await running.request(request_bytes("a1"))) == 200
 
-    assert b"release_watch_ended" in play(tmp_path, [server_answering(OK)], scene)
+    assert b"release_watch_ended" in play(tmp_path, [fixed_response_server(OK)], scene)
--- a/tests/platform/test_stale_endpoint_list.py
+++ b/tests/platform/test_stale_endpoint_list.py
@@ -19,13 +19,13 @@
 
 from tests.support.platform_world import (
     OK,
-    RUN,
+    RUN_COMMAND,
+    ConnectionHandler,
     ProxyProcess,
-    Script,
-    World,
+    StubPlatform,
     configuration,
     endpoint_entry,
-    list_answer,
+    endpoint_list_response,
     read_message,
     request_bytes,
 )
@@ -41,7 +41,7 @@
     """A process that knows one server, and what happened when (seconds of the monotonic clock)."""
 
     def __init__(self) -> None:
-        self.world = World()
+        self.world = StubPlatform()
         self.sends: list[float] = []
         self.answers: list[int] = []
         self.calls: list[float] = []
@@ -70,12 +70,12 @@
             number += 1
             await asyncio.sleep(EVERY)
 
-    def play(self, folder: Path, discovery: Script, seconds: float) -> bytes:
+    def play(self, folder: Path, discovery: ConnectionHandler, seconds: float) -> bytes:
         """Start the process, ask for so long, stop it; what it logged."""
 
         async def whole() -> bytes:
             await self.world.serve(8101, discovery)
-            await self.world.serve(8102, self.world.control)
+            await self.world.serve(8102, self.world.release_controller)
             await self.world.add_server(8200, self.server)
             known = {"revision": 1, "complete": True, "members": self.world.members}
             running = ProxyProcess(folder, configuration(known=known))
@@ -111,7 +111,7 @@
     assert set(scene.answers) <= {200, 503}
 
 
-def answer_then(scene: Scene, fault: Callable[[asyncio.StreamWriter], object]) -> Script:
+def answer_then(scene: Scene, fault: Callable[[asyncio.StreamWriter], object]) -> ConnectionHandler:
     """Answers the first call; a later watch falls silent; all calls after it end by `fault`."""
     silent: list[float] = []
 
@@ -120,7 +120,7 @@
             head, _ = await read_message(reader)
             waits = b"wait_ms=0 " not in head
             if not scene.calls:
-                writer.write(list_answer(1, scene.world.members, complete=True))
+                writer.write(endpoint_list_response(1, scene.world.members, complete=True))
             elif waits and not silent:
                 silent.append(time.monotonic())
                 scene.calls.append(silent[0])
@@ -129,7 +129,7 @@
                 await scene.refuse(writer)
                 fault(writer)
             else:
-                writer.write(list_answer(1, [], complete=False))
+                writer.write(endpoint_list_response(1, [], complete=False))
             scene.calls.append(time.monotonic())
 
     return discovery
@@ -160,7 +160,7 @@
                 continue
             if b"wait_ms=0 " not in head:
                 await asyncio.sleep(1.0)
-            writer.write(list_answer(1, [], complete=False))
+            writer.write(endpoint_list_response(1, [], complete=False))
 
     scene.play(tmp_path, discovery, 9.0)
     assert scene.answers[-1] == 200, scene.answers
@@ -180,7 +180,7 @@
             await read_message(reader)
             if sizes:
                 await asyncio.sleep(2.0)
-                writer.write(list_answer(7, []))
+                writer.write(endpoint_list_response(7, []))
                 continue
             others = [
                 endpoint_entry(
@@ -209,7 +209,7 @@
     under their requests. SIGHUP: it is heard, and changes nothing here."""
 
     async def whole() -> None:
-        world = World()
+        world = StubPlatform()
         called = asyncio.Event()
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -221,7 +221,7 @@
         running = ProxyProcess(tmp_path, configuration())
         environment = {**os.environ, "PROXY_CONFIG": str(running.path), "PROXY_NAME": "n0"}
         process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", RUN, env=environment, stderr=asyncio.subprocess.PIPE
+            "/bin/sh", "-c", RUN_COMMAND, env=environment, stderr=asyncio.subprocess.PIPE
         )
         await asyncio.wait_for(called.wait(), 30)
         process.send_signal(asked_for)
--- a/tests/proxy/test_buffered_upstream.py
+++ b/tests/proxy/test_buffered_upstream.py
@@ -237,7 +237,7 @@
         lambda scene: scene.apply_endpoint_page(member(1, phase="draining")),
         lambda scene: scene.apply_endpoint_page(member(1, phase="gone")),
         lambda scene: scene.apply_endpoint_page(member(2), complete=True),
-        lambda scene: scene.apply_endpoint_page(member(1, up=1_700_000_000_000)),
+        lambda scene: scene.apply_endpoint_page(member(1, started_at_ms=1_700_000_000_000)),
         lambda scene: scene.apply_endpoint_page(member(1, build=42)),
     ],
     ids=["drains", "gone", "not listed any more", "started anew", "another build"],
--- a/tests/proxy/test_listener_shutdown.py
+++ b/tests/proxy/test_listener_shutdown.py
@@ -16,12 +16,12 @@
 from tests.support.platform_world import (
     HOST,
     OK,
-    RUN,
+    RUN_COMMAND,
     ProxyProcess,
-    World,
+    StubPlatform,
     configuration,
+    fixed_response_server,
     read_message,
-    server_answering,
 )
 from tests.support.race_scenes import (
     WAIT_TIMEOUT_SECONDS,
@@ -226,14 +226,14 @@
 
 
 def processed(
-    folder: Path, scene: Callable[[World, ProxyProcess], Awaitable[None]], delay: float = 0.0
+    folder: Path, scene: Callable[[StubPlatform, ProxyProcess], Awaitable[None]], delay: float = 0.0
 ) -> tuple[int, bytes]:
     """A scene round `run`; its exit code and log."""
 
     async def whole() -> tuple[int, bytes]:
-        world = World()
+        world = StubPlatform()
         await world.serve_platform()
-        await world.add_server(8200, server_answering(OK, delay, world.received))
+        await world.add_server(8200, fixed_response_server(OK, delay, world.received))
         known = {"revision": 1, "complete": True, "members": world.members}
         running = ProxyProcess(folder, configuration(known=known))
         await running.start()
@@ -254,7 +254,7 @@
 def test_more_signals_during_a_shutdown_change_nothing(tmp_path: Path, more: signal.Signals) -> None:
     """One right behind the first and many until the process is gone: it ends with 0, the req is answered."""
 
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         flying = asyncio.create_task(running.request(request_bytes("a1")))
         async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
             while not world.received:
@@ -282,7 +282,7 @@
     async def whole() -> tuple[int | None, bytes]:
         environment = {**os.environ, "PROXY_CONFIG": str(path)}
         process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", RUN, env=environment, stderr=asyncio.subprocess.PIPE
+            "/bin/sh", "-c", RUN_COMMAND, env=environment, stderr=asyncio.subprocess.PIPE
         )
         assert process.stderr is not None
         try:
@@ -327,7 +327,7 @@
 def test_a_restarted_umpire_serves_while_the_old_ones_connections_end(tmp_path: Path) -> None:
     """On the same address; the old process leaves a client that never reads and one it answers late."""
 
-    async def scene(world: World, running: ProxyProcess) -> None:
+    async def scene(world: StubPlatform, running: ProxyProcess) -> None:
         old, flying = running.process, asyncio.create_task(running.request(request_bytes("a1")))
         reader, writer = await running.connect()
         writer.write(request_bytes("a2"))
--- a/tests/support/fuzzed_programs.py
+++ b/tests/support/fuzzed_programs.py
@@ -22,14 +22,14 @@
 from tests.support.fuzzed_messages import hostile_datagram, hostile_request, json_text, mutated
 from tests.support.platform_world import (
     HOST,
-    READY_WITHIN,
-    RUN,
+    READY_TIMEOUT_SECONDS,
+    RUN_COMMAND,
     SETTINGS,
-    World,
+    StubPlatform,
     configuration,
+    fixed_response_server,
     read_message,
     request_bytes,
-    server_answering,
 )
 from tests.support.proxy_edge import make_proxy_config
 
@@ -92,7 +92,7 @@
         return await exchange(self.address, self.good_request, ANSWER_SECONDS)
 
     async def until_ready(self) -> None:
-        until = asyncio.get_running_loop().time() + READY_WITHIN
+        until = asyncio.get_running_loop().time() + READY_TIMEOUT_SECONDS
         while not (got := await self.answers()).startswith(b"HTTP/1.1 200"):
             assert self.exit_status is None, (self.name, self.log.read_text())
             assert asyncio.get_running_loop().time() < until, (self.name, got, self.log.read_text())
@@ -145,7 +145,7 @@
         self.block = own_block()
         self.hostile = False
         self.programs: list[Program] = []
-        self.world = World()
+        self.world = StubPlatform()
 
     def spoiling(self, script: Script) -> Script:
         async def spoilt(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -190,8 +190,8 @@
 
     async def add_generic_proxy(self) -> None:
         here, peer = f"{self.block}.1.6", f"{self.block}.1.7"
-        good_server = await self.world.serve(9201, server_answering(OK))
-        spoilt_server = await self.world.serve(9202, self.spoiling(server_answering(OK)))
+        good_server = await self.world.serve(9201, fixed_response_server(OK))
+        spoilt_server = await self.world.serve(9202, self.spoiling(fixed_response_server(OK)))
         boxes = [
             {"box": at, "zone": "a", "cell": 0, "build": 1, "state": "ready", "power": 1.0, "start": None,
              "age": None} for at in (good_server, spoilt_server)
@@ -212,10 +212,10 @@
 
     async def add_platform_proxy(self) -> None:
         peer = f"{self.block}.1.8"
-        await self.world.add_server(9101, server_answering(OK))
-        await self.world.add_server(9102, self.spoiling(server_answering(OK)))
+        await self.world.add_server(9101, fixed_response_server(OK))
+        await self.world.add_server(9102, self.spoiling(fixed_response_server(OK)))
         await self.world.serve(8101, self.spoiling(self.world.discovery))
-        await self.world.serve(8102, self.spoiling(self.world.control))
+        await self.world.serve(8102, self.spoiling(self.world.release_controller))
         told = configuration(
             peers=[f"{HOST}:8103", f"{peer}:8103"], settings={**SETTINGS, "Siblings": 2},
             known={"revision": 1, "complete": True, "members": self.world.members},
@@ -225,7 +225,8 @@
         environment = {"PROXY_CONFIG": str(path), "PROXY_NAME": "n0"}
         self.programs.append(
             Program(
-                "run", f"{HOST}:8100", request_bytes("good", patience="2000"), ["/bin/sh", "-c", RUN],
+                "run", f"{HOST}:8100", request_bytes("good", timeout_ms="2000"),
+                ["/bin/sh", "-c", RUN_COMMAND],
                 self.folder / "run.log", (f"{HOST}:8103", f"{peer}:8103"), environment,
             )
         )  # fmt: skip
--- a/tests/support/pause_sweep.py
+++ b/tests/support/pause_sweep.py
@@ -35,10 +35,10 @@
 from tests.support.platform_world import (
     HOST,
     OK,
-    RUN,
+    RUN_COMMAND,
     SETTINGS,
     ProxyProcess,
-    World,
+    StubPlatform,
     configuration,
     read_message,
     request_bytes,
@@ -139,7 +139,7 @@
         self.pauses = pauses
         self.crowd = self.random.random() < 0.3
         self.made = Observations()
-        self.world = World()
+        self.world = StubPlatform()
         self.over = False
         self.number = 0
 
@@ -269,7 +269,7 @@
         return ProxyProcess(folder, told)
 
     def command(self, _configuration: Path) -> list[str]:
-        return ["/bin/sh", "-c", RUN]
+        return ["/bin/sh", "-c", RUN_COMMAND]
 
     async def play_process(self, running: ProxyProcess, process: asyncio.subprocess.Process) -> None:
         while True:
--- a/tests/support/platform_scene.py
+++ b/tests/support/platform_scene.py
@@ -14,18 +14,18 @@
 from gullmount.net import STREAM_ERRORS, MemoryNet, Stream
 from gullmount.platform.configuration import read_configuration
 from gullmount.platform.instance import PlatformInstance
-from tests.support.platform_world import HOST, OK, configuration, endpoint_entry, list_answer
+from tests.support.platform_world import HOST, OK, configuration, endpoint_entry, endpoint_list_response
 
-SERVER = f"{HOST}:8200"
-ServerAnswer = Callable[[Stream, bytes], Awaitable[None]]
-Script = Callable[[Stream], Awaitable[None]]
+SERVER_ADDRESS = f"{HOST}:8200"
+RequestHandler = Callable[[Stream, bytes], Awaitable[None]]
+ConnectionHandler = Callable[[Stream], Awaitable[None]]
 
 
-async def answer_ok(stream: Stream, data: bytes) -> None:
+async def respond_ok(stream: Stream, data: bytes) -> None:
     await stream.send(OK)
 
 
-async def never_answer(stream: Stream, data: bytes) -> None:
+async def never_respond(stream: Stream, data: bytes) -> None:
     """Keeps the connection and says nothing."""
 
 
@@ -35,12 +35,12 @@
         while True:
             wait = re.findall(rb"wait_ms=(\d+) ", await stream.receive())
             await anyio.sleep(int(wait[0]) / 1000)
-            await stream.send(list_answer(1, []))
+            await stream.send(endpoint_list_response(1, []))
     except STREAM_ERRORS:
         pass
 
 
-class Scene:
+class InMemoryProxy:
     def __init__(self, net: MemoryNet, instance: PlatformInstance, log: list[str]) -> None:
         self.net, self.instance, self.log = net, instance, log
         self.connections = 0
@@ -56,17 +56,17 @@
             await stream.aclose()
 
 
-def play(
+def run_in_virtual_time(
     folder: Path,
-    answers: ServerAnswer,
-    act: Callable[[Scene], Awaitable[None]],
-    around: Mapping[int, Script] | None = None,
+    answers: RequestHandler,
+    act: Callable[[InMemoryProxy], Awaitable[None]],
+    around: Mapping[int, ConnectionHandler] | None = None,
     **changes: Any,
 ) -> None:
     """`around` says who serves at which port of discovery's and the release controller's, else the former
     knows of nothing new and the latter is silent."""
     path = folder / "config.json"
-    known = {"revision": 1, "complete": True, "members": [endpoint_entry("s-1", SERVER)]}
+    known = {"revision": 1, "complete": True, "members": [endpoint_entry("s-1", SERVER_ADDRESS)]}
     path.write_text(json.dumps(configuration(known=known, **changes)))
 
     async def scene() -> None:
@@ -79,7 +79,7 @@
                 lambda event, **fields: log.append(event),
                 wall_clock=anyio.current_time,
             )
-            made = Scene(net, instance, log)
+            made = InMemoryProxy(net, instance, log)
 
             async def server(stream: Stream) -> None:
                 made.connections += 1
--- a/tests/support/platform_world.py
+++ b/tests/support/platform_world.py
@@ -18,8 +18,8 @@
 from tests.support.paths import ROOT
 
 HOST = f"{own_block()}.0.2"
-READY_WITHIN = 30.0  # s, as the users' page allows: a machine that is busy with tests takes its time
-RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+READY_TIMEOUT_SECONDS = 30.0  # s, as the users' page allows: a machine that is busy with tests takes its time
+RUN_COMMAND = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 SETTINGS: dict[str, Any] = {
     "Ceilings": {
@@ -47,12 +47,12 @@
 
 
 def endpoint_entry(
-    server: str, at: str, build: int = 41, phase: str = "ready", up: int = 0
+    server_id: str, address: str, build: int = 41, phase: str = "ready", started_at_ms: int = 0
 ) -> dict[str, Any]:
-    """A server as discovery lists it; `up` in milliseconds of Unix time."""
+    """A server as discovery lists it; `started_at_ms` in milliseconds of Unix time."""
     return {
-        "id": server, "host_port": at, "locality": "a", "flavor": "m2", "cell": 0, "phase": phase,
-        "size": 1.0, "up_since_ms": up, "version_no": build,
+        "id": server_id, "host_port": address, "locality": "a", "flavor": "m2", "cell": 0, "phase": phase,
+        "size": 1.0, "up_since_ms": started_at_ms, "version_no": build,
     }  # fmt: skip
 
 
@@ -66,18 +66,22 @@
 
 
 def request_bytes(
-    mark: str, route: str = "load-item", patience: str = "900", body: bytes = b"", more: bytes = b""
+    request_id: str,
+    route: str = "load-item",
+    timeout_ms: str = "900",
+    body: bytes = b"",
+    extra_headers: bytes = b"",
 ) -> bytes:
     """A request as the platform's clients write it."""
     method = "GET" if route == "load-item" else "POST"
     length = f"Content-Length: {len(body)}\r\n" if method == "POST" else ""
-    head = f"{method} /{route} HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: {mark}\r\n"
+    head = f"{method} /{route} HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: {request_id}\r\n"
     head += f"Request-Class: {route}\r\nAffinity-Key: 7f3a9c21e0b4d655\r\n"
-    head += f"Request-Timeout-Ms: {patience}\r\n{length}"
-    return head.encode() + more + b"\r\n" + body
+    head += f"Request-Timeout-Ms: {timeout_ms}\r\n{length}"
+    return head.encode() + extra_headers + b"\r\n" + body
 
 
-def list_answer(revision: int, members: list[dict[str, Any]], complete: bool = False) -> bytes:
+def endpoint_list_response(revision: int, members: list[dict[str, Any]], complete: bool = False) -> bytes:
     """An answer of discovery."""
     body = json.dumps({"revision": revision, "complete": complete, "members": members}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
@@ -93,10 +97,12 @@
     return head, await reader.readexactly(size) if size else b""
 
 
-Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def server_answering(answer: bytes, delay: float = 0.0, seen: list[bytes] | None = None) -> Script:
+def fixed_response_server(
+    answer: bytes, delay: float = 0.0, seen: list[bytes] | None = None
+) -> ConnectionHandler:
     """A server that gives each request the same answer."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -111,7 +117,7 @@
     return script
 
 
-class World:
+class StubPlatform:
     """Servers by port on `HOST`; ends with `close`."""
 
     def __init__(self) -> None:
@@ -119,14 +125,14 @@
         self.members: list[dict[str, Any]] = []
         self.revision = 1
         self.changed = asyncio.Event()
-        self.list_answers = 0  # calls of discovery that were answered
+        self.answered_discovery_calls = 0  # calls of discovery that were answered
         self.votes: list[str] = []
         self.received: list[bytes] = []  # what came to servers that are given this list
-        self.vote_answer = b"OK 41 2 COMPLETE 1.0 9000\r\n"
+        self.vote_reply = b"OK 41 2 COMPLETE 1.0 9000\r\n"
         self.status_streams: list[asyncio.StreamWriter] = []
         self.tasks: set[asyncio.Task[Any]] = set()
 
-    async def serve(self, port: int, script: Script) -> str:
+    async def serve(self, port: int, script: ConnectionHandler) -> str:
         async def shielded(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             task = asyncio.current_task()
             assert task is not None
@@ -148,7 +154,7 @@
             if any(sock.getsockname()[1] == port for sock in server.sockets):
                 server.close()
 
-    async def add_server(self, port: int, script: Script, **fields: Any) -> None:
+    async def add_server(self, port: int, script: ConnectionHandler, **fields: Any) -> None:
         self.members.append(endpoint_entry(f"s-{port}", await self.serve(port, script), **fields))
 
     def publish_list(self) -> None:
@@ -168,12 +174,12 @@
                 except TimeoutError:
                     pass
             if int(after) >= self.revision:
-                writer.write(list_answer(self.revision, []))
+                writer.write(endpoint_list_response(self.revision, []))
             else:
-                writer.write(list_answer(self.revision, self.members, complete=True))
-            self.list_answers += 1
+                writer.write(endpoint_list_response(self.revision, self.members, complete=True))
+            self.answered_discovery_calls += 1
 
-    async def control(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def release_controller(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             line = (await reader.readuntil(b"\r\n")).decode().strip()
             if line == "NOTIFY":
@@ -181,11 +187,11 @@
                 self.status_streams.append(writer)
             else:
                 self.votes.append(line)
-                writer.write(self.vote_answer)
+                writer.write(self.vote_reply)
 
-    async def serve_platform(self, discovery: int = 8101, control: int = 8102) -> None:
-        await self.serve(discovery, self.discovery)
-        await self.serve(control, self.control)
+    async def serve_platform(self, discovery_port: int = 8101, release_controller_port: int = 8102) -> None:
+        await self.serve(discovery_port, self.discovery)
+        await self.serve(release_controller_port, self.release_controller)
 
     async def close(self) -> None:
         for server in self.servers:
@@ -201,18 +207,18 @@
     def __init__(self, folder: Path, configuration: dict[str, Any]) -> None:
         self.path = folder / "config.json"
         self.configuration = configuration
-        self.write(configuration)
+        self.write_configuration(configuration)
 
-    def write(self, configuration: dict[str, Any]) -> None:
+    def write_configuration(self, configuration: dict[str, Any]) -> None:
         self.path.write_text(json.dumps(configuration))
 
     async def start(self, *command: str) -> None:
         environment = {**os.environ, "PROXY_CONFIG": str(self.path), "PROXY_NAME": "n0"}
-        words = command or ("/bin/sh", "-c", RUN)
+        words = command or ("/bin/sh", "-c", RUN_COMMAND)
         self.process = await asyncio.create_subprocess_exec(
             *words, env=environment, stderr=asyncio.subprocess.PIPE
         )
-        until = asyncio.get_running_loop().time() + READY_WITHIN
+        until = asyncio.get_running_loop().time() + READY_TIMEOUT_SECONDS
         while asyncio.get_running_loop().time() < until:
             try:
                 answer = await self.request(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/tests/support/soak.py
+++ b/tests/support/soak.py
@@ -31,12 +31,12 @@
 
 from tests.support.platform_world import (
     OK,
-    RUN,
+    RUN_COMMAND,
     SETTINGS,
     ProxyProcess,
-    World,
+    StubPlatform,
     configuration,
-    list_answer,
+    endpoint_list_response,
     read_message,
     request_bytes,
 )
@@ -107,7 +107,7 @@
         self.life_random = Random(f"lives {seed}")
         self.seconds = seconds
         self.seen = Seen()
-        self.world = World()
+        self.world = StubPlatform()
         self.fault = "none"
         self.over = False
         self.serving = False  # a life is ready and was not told to end
@@ -145,7 +145,9 @@
                 except TimeoutError:
                     pass
             news = after < self.world.revision
-            data = list_answer(self.world.revision, self.world.members if news else [], complete=news)
+            data = endpoint_list_response(
+                self.world.revision, self.world.members if news else [], complete=news
+            )
             if fault == "broken" and news:
                 writer.write(data[: len(data) // 2])
                 return
@@ -246,7 +248,9 @@
         self.was_killed = False
         environment = {**os.environ, "PROXY_CONFIG": str(running.path), "PROXY_NAME": "n0"}
         log = (running.path.parent / "log").open("ab")
-        process = await asyncio.create_subprocess_exec("/bin/sh", "-c", RUN, env=environment, stderr=log)
+        process = await asyncio.create_subprocess_exec(
+            "/bin/sh", "-c", RUN_COMMAND, env=environment, stderr=log
+        )
         began = time.monotonic()
         if end == "term while starting":
             await asyncio.sleep(self.random.uniform(0.0, 0.3))
@@ -295,7 +299,7 @@
 
     async def play(self, folder: Path) -> Seen:
         await self.world.serve(8101, self.discovery)
-        await self.world.serve(8102, self.world.control)
+        await self.world.serve(8102, self.world.release_controller)
         for at in range(SERVERS):
             await self.world.add_server(FIRST_PORT + at, self.server(f"s-{FIRST_PORT + at}"))
         settings = deepcopy(SETTINGS)
