--- a/gullmount/platform/instance.py
+++ b/gullmount/platform/instance.py
@@ -51,10 +51,10 @@
 
     async def serve(self, tasks: TaskGroup) -> None:
         """Start, and return once clients are accepted; `tasks` hold what goes on."""
-        self.build(tasks)
-        await self.open(tasks)
+        self.create_components(tasks)
+        await self.start_services(tasks)
 
-    def build(self, tasks: TaskGroup) -> None:
+    def create_components(self, tasks: TaskGroup) -> None:
         """Make all parts; from then on addresses may change and it may be stopped."""
         file, sockets = self.configuration.file, self.configuration.sockets
         settings = self.configuration.instance
@@ -87,7 +87,7 @@
         except InvalidPlatformMessageError as error:
             self.log(LogEvent.STARTING_STATE_INVALID, reason=str(error))
 
-    async def open(self, tasks: TaskGroup) -> None:
+    async def start_services(self, tasks: TaskGroup) -> None:
         """Begin all conversations; return once clients are accepted, or where it was stopped before."""
         await self.start_gossip(tasks)
         self.discovery.start()
--- a/gullmount/platform/runner.py
+++ b/gullmount/platform/runner.py
@@ -36,8 +36,8 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
         async with anyio.create_task_group() as tasks:
             instance = PlatformInstance(configuration, net, log, clock=read_monotonic_clock)
-            instance.build(tasks)
-            tasks.start_soon(instance.open, tasks)
+            instance.create_components(tasks)
+            tasks.start_soon(instance.start_services, tasks)
             reload = ConfigurationReload(instance, os.environ, tasks)
             async for number in signals:
                 if number != signal.SIGHUP:
