--- a/gullmount/platform/discovery_client.py
+++ b/gullmount/platform/discovery_client.py
@@ -26,7 +26,7 @@
 MAX_LIST_BYTES = 2 << 20  # indented, some 3,200 servers with names of 300 characters
 MILLISECONDS_PER_SECOND = 1000
 STATUS_OK = 200
-LOCAL_CONNECT_ERRORS = (
+LOCAL_CONNECT_ERRNOS = (
     errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EADDRINUSE,
     errno.EAGAIN, errno.EINTR, errno.EPERM, errno.EACCES,
 )  # fmt: skip
@@ -54,7 +54,7 @@
         self.planned = planned
         self.began_at = began_at
         self.first_byte_at = inf
-        self.answered_at = inf  # the earliest time at which its first byte can have arrived
+        self.earliest_arrival_at = inf  # the earliest time at which its first byte can have arrived
         self.last_byte_at = -inf
         self.body_bytes = 0
 
@@ -62,13 +62,13 @@
         """Return until when the next bytes are waited for."""
         return response_deadline(self.planned, self.began_at, self.last_byte_at, self.first_byte_at)
 
-    def note_bytes(self, now: float, arrived_at: float) -> None:
+    def record_bytes(self, now: float, arrived_at: float) -> None:
         """Note that something was read, and the earliest time at which it can have arrived."""
-        self.answered_at = min(self.answered_at, arrived_at)
+        self.earliest_arrival_at = min(self.earliest_arrival_at, arrived_at)
         self.first_byte_at = min(self.first_byte_at, now)
         self.last_byte_at = now
 
-    def note_body(self, byte_count: int) -> None:
+    def count_body_bytes(self, byte_count: int) -> None:
         """Count bytes of the body; raises EndpointListTooLongError."""
         self.body_bytes += byte_count
         if self.body_bytes > MAX_LIST_BYTES:
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DiscoveryAnswer:
+class DiscoveryResponse:
     """A good answer of discovery."""
 
     page: EndpointPage
@@ -110,8 +110,8 @@
             detail = f"not connected in time {error}".strip()
             raise DiscoveryCallError(CallFailure.UNREACHABLE, detail) from None
         except STREAM_ERRORS as error:
-            local = connect_error_number(error) in LOCAL_CONNECT_ERRORS
-            failure = CallFailure.BROKEN if local else CallFailure.UNREACHABLE
+            is_local = connect_errno(error) in LOCAL_CONNECT_ERRNOS
+            failure = CallFailure.BROKEN if is_local else CallFailure.UNREACHABLE
             detail = f"{type(error).__name__} {error.__cause__ or error}"
             raise DiscoveryCallError(failure, detail) from None
         return self.stream
@@ -124,11 +124,11 @@
 
     async def get_page(
         self, stream: Stream, address: str, after_revision: int, call: DiscoveryCall
-    ) -> DiscoveryAnswer:
+    ) -> DiscoveryResponse:
         """Ask for what changed after a revision, 0 for the complete list; raises DiscoveryCallError."""
         try:
             await self.send_request(stream, address, after_revision, call)
-            return await self.read_answer(stream, call)
+            return await self.read_response(stream, call)
         except TimeoutError:
             raise DiscoveryCallError(CallFailure.SILENT, "no byte in time") from None
         except (InvalidPlatformMessageError, ProtocolError, *STREAM_ERRORS) as error:
@@ -144,38 +144,38 @@
         with anyio.fail_after(call.deadline() - self.now()):
             await stream.send(request)
 
-    async def read_answer(self, stream: Stream, call: DiscoveryCall) -> DiscoveryAnswer:
+    async def read_response(self, stream: Stream, call: DiscoveryCall) -> DiscoveryResponse:
         """Read one answer to its end.
 
         Bytes behind a good answer make the connection unusable, as they would be taken for the next answer.
         Raises DiscoveryCallError for a refusal, else InvalidPlatformMessageError, ProtocolError, TimeoutError
         or what a broken stream does.
         """
-        reader = ResponseParser(MAX_HEAD_BYTES, "GET")
+        parser = ResponseParser(MAX_HEAD_BYTES, "GET")
         body: list[bytes] = []
         while True:
-            part = await self.next_part(stream, reader, call)
+            part = await self.next_part(stream, parser, call)
             if isinstance(part, Response) and part.status > STATUS_OK:
                 raise DiscoveryCallError(CallFailure.REFUSED, f"status {part.status}")
             if isinstance(part, bytes):
-                call.note_body(len(part))
+                call.count_body_bytes(len(part))
                 body.append(part)
             elif isinstance(part, EndOfMessage):
-                reusable = reader.keep_alive and reader.error is None and not reader.parts
-                return DiscoveryAnswer(decode_page(b"".join(body)), reusable)
+                reusable = parser.keep_alive and parser.error is None and not parser.parts
+                return DiscoveryResponse(decode_page(b"".join(body)), reusable)
 
-    async def next_part(self, stream: Stream, reader: ResponseParser, call: DiscoveryCall) -> MessagePart:
+    async def next_part(self, stream: Stream, parser: ResponseParser, call: DiscoveryCall) -> MessagePart:
         """Return the answer's next part, receiving where none is there yet."""
-        while not reader.parts:
-            if reader.error is not None:
-                raise reader.error
+        while not parser.parts:
+            if parser.error is not None:
+                raise parser.error
             data = await self.stalls.receive_within(call.deadline() - self.now(), stream.receive)
-            call.note_bytes(self.now(), self.stalls.arrival_time())
-            reader.feed(data)
-        return reader.parts.popleft()
+            call.record_bytes(self.now(), self.stalls.arrival_time())
+            parser.feed(data)
+        return parser.parts.popleft()
 
 
-def connect_error_number(error: BaseException) -> int | None:
+def connect_errno(error: BaseException) -> int | None:
     """Return the errno of a failed connect, which anyio wraps in an error without one."""
     cause = error.__cause__ if error.__cause__ is not None else error
     return getattr(cause, "errno", None)
--- a/gullmount/platform/discovery_watch.py
+++ b/gullmount/platform/discovery_watch.py
@@ -88,38 +88,38 @@
     async def call_when_due(self) -> None:
         """Wait for the planned call and make it."""
         planned = self.freshness.next_call
-        pause = planned.not_before - self.runtime.now()
-        if pause > 0:
-            await anyio.sleep(pause)
+        delay = planned.not_before - self.runtime.now()
+        if delay > 0:
+            await anyio.sleep(delay)
         self.call_count += 1
         call = DiscoveryCall(self.call_count, planned, self.runtime.now())
         try:
             await self.make_call(call)
         except DiscoveryCallError as error:
             await self.client.disconnect()
-            self.note_failure(call, error)
+            self.record_failure(call, error)
         except Exception as error:
             self.runtime.handler_errors.record("discovery answer", error)
             await self.client.disconnect()
-            self.note_failure(call, DiscoveryCallError(CallFailure.BROKEN, "not handled"))
+            self.record_failure(call, DiscoveryCallError(CallFailure.BROKEN, "not handled"))
         self.log_state_change()
 
     async def make_call(self, call: DiscoveryCall) -> None:
         """Make one call and apply its answer; raises DiscoveryCallError."""
         stream = await self.client.connect(self.address)
-        answer = await self.client.get_page(stream, self.address, self.endpoints.revision, call)
+        response = await self.client.get_page(stream, self.address, self.endpoints.revision, call)
         try:
-            self.apply_page(answer.page, answer.page.kind)
+            self.apply_page(response.page, response.page.kind)
         except InvalidPlatformMessageError as error:
             raise DiscoveryCallError(CallFailure.BROKEN, f"{type(error).__name__} {error}") from None
-        self.note_success(call, answer.page)
-        if not answer.reusable:
+        self.record_success(call, response.page)
+        if not response.reusable:
             await self.client.disconnect()
 
-    def note_success(self, call: DiscoveryCall, page: EndpointPage) -> None:
+    def record_success(self, call: DiscoveryCall, page: EndpointPage) -> None:
         """Renew the list's freshness and log the call."""
         now = self.runtime.now()
-        self.freshness.call_succeeded(call.began_at, now, call.answered_at)
+        self.freshness.call_succeeded(call.began_at, now, call.earliest_arrival_at)
         self.first_call_ended.set()
         self.runtime.log_event(
             LogEvent.DISCOVERY_CALL_SUCCEEDED,
@@ -132,7 +132,7 @@
             complete=page.complete,
         )
 
-    def note_failure(self, call: DiscoveryCall, error: DiscoveryCallError) -> None:
+    def record_failure(self, call: DiscoveryCall, error: DiscoveryCallError) -> None:
         """Let the freshness plan the next call and log the failure."""
         now = self.runtime.now()
         self.freshness.call_failed(error.failure, call.began_at, now)
--- a/gullmount/platform/endpoint_cache.py
+++ b/gullmount/platform/endpoint_cache.py
@@ -55,8 +55,8 @@
         if kind is not EndpointUpdateKind.UPDATE:
             self.remove_unlisted({endpoint.server_id for endpoint in endpoints})
         # With a lower revision the service counts anew, and knows nothing of what is held here.
-        counts_anew = kind is EndpointUpdateKind.UPDATE and page.revision < self.revision
-        self.revision = NO_REVISION if counts_anew else page.revision
+        revision_restarted = kind is EndpointUpdateKind.UPDATE and page.revision < self.revision
+        self.revision = NO_REVISION if revision_restarted else page.revision
         self.runtime.router.update_endpoints(kind, endpoints)
 
     def decode_endpoints(self, page: EndpointPage, kind: EndpointUpdateKind) -> list[Endpoint]:
@@ -71,11 +71,11 @@
 
     def decode_entry(self, entry: EndpointEntry, kind: EndpointUpdateKind) -> Endpoint:
         """Convert one entry; raises InvalidEndpointFieldError."""
-        known = self.processes.get(entry.server_id)
+        previous = self.processes.get(entry.server_id)
         is_fresh = self.freshness.state(self.runtime.now()) is EndpointListState.FRESH
-        restarted = known is None or known.started_at_ms != entry.started_at_ms
-        appeared = kind is EndpointUpdateKind.UPDATE and is_fresh and restarted
-        unlisted_at = self.freshness.synced_at if appeared else None
+        restarted = previous is None or previous.started_at_ms != entry.started_at_ms
+        newly_listed = kind is EndpointUpdateKind.UPDATE and is_fresh and restarted
+        unlisted_at = self.freshness.synced_at if newly_listed else None
         return decode_endpoint(entry, self.start_times.start_time(entry.started_at_ms, unlisted_at))
 
     def update_process(self, entry: EndpointEntry, endpoint: Endpoint) -> None:
@@ -91,8 +91,8 @@
             self.processes[server_id] = process
             self.addresses[server_id] = entry.address
 
-    def remove_unlisted(self, listed: set[str]) -> None:
+    def remove_unlisted(self, listed_servers: set[str]) -> None:
         """Drop all servers that a complete list does not name."""
-        for server_id in [server_id for server_id in self.processes if server_id not in listed]:
+        for server_id in [server_id for server_id in self.processes if server_id not in listed_servers]:
             self.runtime.upstream.remove_server(server_id)
             del self.processes[server_id], self.addresses[server_id]
--- a/gullmount/platform/instance.py
+++ b/gullmount/platform/instance.py
@@ -49,17 +49,17 @@
         self.accepts_clients = False
         self.stopping = False
 
-    async def serve(self, tasks: TaskGroup) -> None:
+    async def serve(self, task_group: TaskGroup) -> None:
         """Start, and return once clients are accepted; `tasks` hold what goes on."""
-        self.create_components(tasks)
-        await self.start_services(tasks)
+        self.create_components(task_group)
+        await self.start_services(task_group)
 
-    def create_components(self, tasks: TaskGroup) -> None:
+    def create_components(self, task_group: TaskGroup) -> None:
         """Make all parts; from then on addresses may change and it may be stopped."""
         file, sockets = self.configuration.file, self.configuration.sockets
         settings = self.configuration.instance
         self.adapter = PlatformAdapter(settings, sockets, file.limits.sockets, self.clock)
-        self.runtime = BufferedRuntime(self.adapter, settings, self.net, tasks, self.log, self.clock)
+        self.runtime = BufferedRuntime(self.adapter, settings, self.net, task_group, self.log, self.clock)
         self.discovery = DiscoveryWatch(
             self.runtime,
             self.adapter.addresses,
@@ -71,7 +71,7 @@
         self.release_controller = ReleaseControllerClient(
             self.runtime, self.net, file.release_controller.address, sockets.vote_timeout
         )
-        self.listener = BufferedListener(self.runtime, self.net, tasks)
+        self.listener = BufferedListener(self.runtime, self.net, task_group)
         self.runtime.on_vote = self.release_controller.vote
         self.runtime.on_watch_endpoints = self.discovery.start
         self.apply_starting_state()
@@ -87,30 +87,30 @@
         except InvalidPlatformMessageError as error:
             self.log(LogEvent.STARTING_STATE_INVALID, reason=str(error))
 
-    async def start_services(self, tasks: TaskGroup) -> None:
+    async def start_services(self, task_group: TaskGroup) -> None:
         """Begin all conversations; return once clients are accepted, or where it was stopped before."""
-        await self.start_gossip(tasks)
+        await self.start_gossip(task_group)
         self.discovery.start()
-        tasks.start_soon(self.release_controller.run)
+        task_group.start_soon(self.release_controller.run)
         with anyio.move_on_after(self.first_list_timeout):
             await self.discovery.first_call_ended.wait()
         if self.stopping:
             return
         self.accepts_clients = True
         address = self.configuration.file.listen_address
-        tasks.start_soon(self.listener.listen, address)
+        task_group.start_soon(self.listener.listen, address)
         await self.listener.listening.wait()
-        tasks.start_soon(Reporter(self.runtime, self.discovery, self.listener).run)
+        task_group.start_soon(Reporter(self.runtime, self.discovery, self.listener).run)
         self.log(LogEvent.LISTENING, address=address)
 
-    async def start_gossip(self, tasks: TaskGroup) -> None:
+    async def start_gossip(self, task_group: TaskGroup) -> None:
         """Exchange votes with peers, where the settings say so."""
         file = self.configuration.file
         if file.gossip_address is None or not self.configuration.instance.gossip_enabled:
             return
         gossip = VoteGossip(self.runtime, await self.net.datagrams(file.gossip_address), file.peer_addresses)
         self.runtime.on_gossip_vote = gossip.gossip_vote
-        tasks.start_soon(gossip.receive_forever)
+        task_group.start_soon(gossip.receive_forever)
 
     def apply_configuration(self, configuration: Configuration) -> None:
         """Change to the addresses of a new configuration; the settings stay those of the start."""
@@ -123,7 +123,11 @@
         if not self.accepts_clients:
             self.log(LogEvent.STOPPED_BEFORE_LISTENING)
             return
-        longest = max(self.configuration.sockets.route_timeouts.values())
-        deadline = min(MAX_DRAIN_DEADLINE_SECONDS, longest) + KILL_MARGIN_SECONDS - REJECT_MARGIN_SECONDS
-        remaining = max(0.0, deadline - ACCEPT_AFTER_SIGTERM_SECONDS)
-        await self.listener.stop(ACCEPT_AFTER_SIGTERM_SECONDS, remaining)
+        longest_route_timeout = max(self.configuration.sockets.route_timeouts.values())
+        deadline = (
+            min(MAX_DRAIN_DEADLINE_SECONDS, longest_route_timeout)
+            + KILL_MARGIN_SECONDS
+            - REJECT_MARGIN_SECONDS
+        )
+        read_seconds = max(0.0, reject_after_seconds - ACCEPT_AFTER_SIGTERM_SECONDS)
+        await self.listener.stop(ACCEPT_AFTER_SIGTERM_SECONDS, read_seconds)
