--- a/gullmount/platform/instance.py
+++ b/gullmount/platform/instance.py
@@ -124,7 +124,7 @@
             self.log(LogEvent.STOPPED_BEFORE_LISTENING)
             return
         longest_route_timeout = max(self.configuration.sockets.route_timeouts.values())
-        deadline = (
+        reject_after_seconds = (
             min(MAX_DRAIN_DEADLINE_SECONDS, longest_route_timeout)
             + KILL_MARGIN_SECONDS
             - REJECT_MARGIN_SECONDS
