--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -17,48 +17,48 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "named"),
+    ("break_file", "expected_text"),
     [
-        (lambda told: told.pop("listen"), "listen"),
-        (lambda told: told.update(listen="nowhere"), "listen"),
-        (lambda told: told.update(seed="xyz"), "seed"),
-        (lambda told: told["settings"].pop("Rules"), "settings: Rules: missing"),
-        (lambda told: told["settings"].update(Siblings=0), "settings: Siblings: out of range"),
-        (lambda told: told["settings"].update(Me=10**400), "settings: Me: out of range"),
-        (lambda told: told["settings"].update(Zone=None), "settings: Zone: missing"),
-        (lambda told: told["settings"]["Ceilings"].update(Peers=1), "Ceilings.Peers: not true or false"),
-        (lambda told: told["settings"]["Rules"].update(ColdFrom=True), "Rules.ColdFrom: not a number"),
-        (lambda told: told["settings"]["Specifics"].update(GateMode="oracle"), "GateMode: no such value"),
-        (lambda told: told["settings"]["Specifics"].update(BackVotes=1.5), "BackVotes: not a whole number"),
-        (lambda told: told["settings"]["Specifics"].update(ExposureCaps=[0.1, 2]), "ExposureCaps[1]: out of"),
-        (lambda told: told["settings"]["Grades"][1].update(ObjectiveUs="1"), "Grades[1].ObjectiveUs: not a"),
-        (lambda told: told.update(platform={}), "platform"),
+        (lambda file: file.pop("listen"), "listen"),
+        (lambda file: file.update(listen="nowhere"), "listen"),
+        (lambda file: file.update(seed="xyz"), "seed"),
+        (lambda file: file["settings"].pop("Rules"), "settings: Rules: missing"),
+        (lambda file: file["settings"].update(Siblings=0), "settings: Siblings: out of range"),
+        (lambda file: file["settings"].update(Me=10**400), "settings: Me: out of range"),
+        (lambda file: file["settings"].update(Zone=None), "settings: Zone: missing"),
+        (lambda file: file["settings"]["Ceilings"].update(Peers=1), "Ceilings.Peers: not true or false"),
+        (lambda file: file["settings"]["Rules"].update(ColdFrom=True), "Rules.ColdFrom: not a number"),
+        (lambda file: file["settings"]["Specifics"].update(GateMode="oracle"), "GateMode: no such value"),
+        (lambda file: file["settings"]["Specifics"].update(BackVotes=1.5), "BackVotes: not a whole number"),
+        (lambda file: file["settings"]["Specifics"].update(ExposureCaps=[0.1, 2]), "ExposureCaps[1]: out of"),
+        (lambda file: file["settings"]["Grades"][1].update(ObjectiveUs="1"), "Grades[1].ObjectiveUs: not a"),
+        (lambda file: file.update(platform={}), "platform"),
     ],
 )
-def test_a_configuration_that_cannot_be_read_names_file_and_key(
-    tmp_path: Path, spoil: Callable[[dict[str, Any]], Any], named: str
+def test_error_for_an_invalid_configuration_names_its_file_and_key(
+    tmp_path: Path, break_file: Callable[[dict[str, Any]], Any], expected_text: str
 ) -> None:
-    told = json.loads(json.dumps(configuration()))
-    spoil(told)
+    file = json.loads(json.dumps(configuration()))
+    break_file(file)
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told))
-    with pytest.raises(InvalidConfigurationError) as fault:
+    path.write_text(json.dumps(file))
+    with pytest.raises(InvalidConfigurationError) as error:
         read_configuration({"PROXY_CONFIG": str(path)})
-    assert str(path) in str(fault.value) and named in str(fault.value)
+    assert str(path) in str(error.value) and expected_text in str(error.value)
     with pytest.raises(InvalidConfigurationError):
         read_configuration({})
 
 
-def test_settings_hold_more_or_less_than_is_read(tmp_path: Path) -> None:
+def test_unknown_settings_are_ignored_and_unused_ones_may_be_absent(tmp_path: Path) -> None:
     """Unknown ones are skipped; a group and its window may be absent where no route is deduped by them."""
-    told = json.loads(json.dumps(configuration()))
-    rules = told["settings"]["Rules"]
-    told["settings"] |= {"Novelty": [None], "Rules": {**rules, "More": {}, "WarmAfterUs": 0}}
-    del told["settings"]["Grades"][0]["Group"], told["settings"]["Grades"][0]["WindowUs"]
+    file = json.loads(json.dumps(configuration()))
+    rules = file["settings"]["Rules"]
+    file["settings"] |= {"Novelty": [None], "Rules": {**rules, "More": {}, "WarmAfterUs": 0}}
+    del file["settings"]["Grades"][0]["Group"], file["settings"]["Grades"][0]["WindowUs"]
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told))
-    start = read_configuration({"PROXY_CONFIG": str(path)})
+    path.write_text(json.dumps(file))
+    configuration_read = read_configuration({"PROXY_CONFIG": str(path)})
     assert (
-        start.instance.warm_up_time > 0
-        and start.instance.routes["load-item"].retry_safety is RetrySafety.IDEMPOTENT
+        configuration_read.instance.warm_up_time > 0
+        and configuration_read.instance.routes["load-item"].retry_safety is RetrySafety.IDEMPOTENT
     )
--- a/tests/platform/test_configuration_reload.py
+++ b/tests/platform/test_configuration_reload.py
@@ -27,50 +27,56 @@
     wait_until,
 )
 
-MOVED = 8111
+NEW_DISCOVERY_PORT = 8111
 
 
-async def call(sock: socket.socket) -> int:
+async def receive_call(sock: socket.socket) -> int:
     """The revision after which discovery is asked next on this connection."""
     data = await receive_until(sock, lambda data: data.endswith(b"\r\n\r\n"))
     return int(re.findall(rb"after=(\d+)&wait_ms=\d+ HTTP", data)[0])
 
 
-def readable(scene: ProxyHarness, **changes: Any) -> str:
-    return json.dumps(json.loads(scene.path.read_text()) | changes)
+def changed_file(target: ProxyHarness, **changes: Any) -> str:
+    return json.dumps(json.loads(target.path.read_text()) | changes)
 
 
-def test_a_half_written_configuration_is_read_again_until_it_is_whole(tmp_path: Path) -> None:
+def test_half_written_configuration_is_read_again_until_it_is_complete(tmp_path: Path) -> None:
     """Without another SIGHUP; and the last of two that come at once holds."""
 
-    async def scene() -> None:
-        with listener(DISCOVERY_PORT) as old, listener(MOVED) as new, listener(MOVED + 50) as last:
-            async with proxy_harness(tmp_path) as made, anyio.create_task_group() as tasks:
-                watch = await accept(old)
-                whole = readable(made, discovery=f"{HOST}:{MOVED}")
-                reading = ConfigurationReload(made.proxy, {"PROXY_CONFIG": str(made.path)}, tasks)
-                made.path.write_text(whole[: len(whole) // 2])
-                reading.begin()
-                await wait_until(lambda: any("configuration_invalid" in line for line in made.log))
-                assert made.proxy.discovery.address.endswith(str(DISCOVERY_PORT))
-                made.path.write_text(whole)
-                moved = await accept(new)
-                assert await call(moved) == 0
+    async def scenario() -> None:
+        with (
+            listener(DISCOVERY_PORT) as old_listener,
+            listener(NEW_DISCOVERY_PORT) as new_listener,
+            listener(NEW_DISCOVERY_PORT + 50) as newest_listener,
+        ):
+            async with proxy_harness(tmp_path) as harness, anyio.create_task_group() as tasks:
+                connection = await accept(old_listener)
+                valid_text = changed_file(harness, discovery=f"{HOST}:{NEW_DISCOVERY_PORT}")
+                reload = ConfigurationReload(harness.proxy, {"PROXY_CONFIG": str(harness.path)}, tasks)
+                harness.path.write_text(valid_text[: len(valid_text) // 2])
+                reload.begin()
+                await wait_until(lambda: any("configuration_invalid" in line for line in harness.log))
+                assert harness.proxy.discovery.address.endswith(str(DISCOVERY_PORT))
+                harness.path.write_text(valid_text)
+                new_connection = await accept(new_listener)
+                assert await receive_call(new_connection) == 0
                 with pytest.raises((EOFError, ConnectionError)):
-                    await receive_until(watch, lambda data: False)  # the old one was left
-                made.path.write_text(whole[:9])
-                reading.begin()
-                made.path.write_text(whole.replace(str(MOVED), str(MOVED + 50)))
-                reading.begin()
-                assert await call(await accept(last)) == 0
-                assert sum("configuration_reloaded" in line for line in made.log) == 2
+                    await receive_until(connection, lambda data: False)  # the old one was left
+                harness.path.write_text(valid_text[:9])
+                reload.begin()
+                harness.path.write_text(
+                    valid_text.replace(str(NEW_DISCOVERY_PORT), str(NEW_DISCOVERY_PORT + 50))
+                )
+                reload.begin()
+                assert await receive_call(await accept(newest_listener)) == 0
+                assert sum("configuration_reloaded" in line for line in harness.log) == 2
                 tasks.cancel_scope.cancel()
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
-    ("change", "place"),
+    ("overrides", "key"),
     [
         ({"discovery": "nowhere"}, "discovery"),
         ({"settings": {}}, "settings"),
@@ -79,22 +85,27 @@
         ({"settings": {**SETTINGS, "Specifics": {**SETTINGS["Specifics"], "BackVotes": -1}}}, "BackVotes"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_leaves_the_old_one(
-    tmp_path: Path, change: dict[str, Any], place: str
+def test_invalid_configuration_leaves_the_old_one_in_force(
+    tmp_path: Path, overrides: dict[str, Any], key: str
 ) -> None:
-    async def scene() -> None:
-        async with proxy_harness(tmp_path) as made, anyio.create_task_group() as tasks:
-            before = made.proxy.discovery.address, made.proxy.release_controller.address
-            made.path.write_text(readable(made, **change))
-            ConfigurationReload(made.proxy, {"PROXY_CONFIG": str(made.path)}, tasks).begin()
-            await wait_until(lambda: any("configuration_invalid" in line for line in made.log))
-            assert [line for line in made.log if "configuration_invalid" in line and place in line]
-            assert before == (made.proxy.discovery.address, made.proxy.release_controller.address)
-            asking = client(request_bytes("a1"))
-            server = await accept(made.server_listener)
+    async def scenario() -> None:
+        async with proxy_harness(tmp_path) as harness, anyio.create_task_group() as tasks:
+            old_addresses = harness.proxy.discovery.address, harness.proxy.release_controller.address
+            harness.path.write_text(changed_file(harness, **overrides))
+            ConfigurationReload(harness.proxy, {"PROXY_CONFIG": str(harness.path)}, tasks).begin()
+            await wait_until(lambda: any("configuration_invalid" in line for line in harness.log))
+            assert [line for line in harness.log if "configuration_invalid" in line and key in line]
+            assert old_addresses == (
+                harness.proxy.discovery.address,
+                harness.proxy.release_controller.address,
+            )
+            client_socket = client(request_bytes("a1"))
+            server = await accept(harness.server_listener)
             await receive_message(server)
             server.sendall(OK)
-            assert (await receive_message(asking)).endswith(b"\r\n\r\nok") and RELEASE_STATUS["build"] == 41
+            assert (await receive_message(client_socket)).endswith(b"\r\n\r\nok") and RELEASE_STATUS[
+                "build"
+            ] == 41
             tasks.cancel_scope.cancel()
 
-    run_scenario(scene)
+    run_scenario(scenario)
--- a/tests/platform/test_instance.py
+++ b/tests/platform/test_instance.py
@@ -21,131 +21,135 @@
 from tests.support.platform_world import HOST, OK, request_bytes
 
 
-def test_a_connection_to_a_server_is_used_again_until_it_was_idle_for_the_configured_time(
+def test_server_connection_is_reused_until_its_idle_timeout(
     tmp_path: Path,
 ) -> None:
-    async def act(scene: InMemoryProxy) -> None:
+    async def scenario(proxy: InMemoryProxy) -> None:
         for number in range(3):
-            assert (await scene.request(request_bytes(f"a{number}"))).endswith(b"\r\n\r\nok")
+            assert (await proxy.request(request_bytes(f"a{number}"))).endswith(b"\r\n\r\nok")
             await anyio.sleep(CONNECTION_REUSE_DELAY_SECONDS + 0.001)
-        assert scene.connections == 1 and scene.instance.runtime.upstream.open_connections == 1
+        assert proxy.connections == 1 and proxy.instance.runtime.upstream.open_connections == 1
         await anyio.sleep(17)
         assert (
-            scene.instance.runtime.upstream.open_connections == 0
-            and not scene.instance.runtime.upstream.pools
+            proxy.instance.runtime.upstream.open_connections == 0
+            and not proxy.instance.runtime.upstream.pools
         )
-        assert (await scene.request(request_bytes("b1"))).endswith(b"\r\n\r\nok")
-        assert scene.connections == 2
+        assert (await proxy.request(request_bytes("b1"))).endswith(b"\r\n\r\nok")
+        assert proxy.connections == 2
 
-    run_in_virtual_time(tmp_path, respond_ok, act)
+    run_in_virtual_time(tmp_path, respond_ok, scenario)
 
 
-def test_timeout_ends_an_attempt_and_its_connection_and_nothing_is_left(tmp_path: Path) -> None:
-    async def act(scene: InMemoryProxy) -> None:
-        begun = anyio.current_time()
-        got = await scene.request(request_bytes("a1", "submit-exam", timeout_ms="900", body=b"x"))
-        assert got.startswith(b"HTTP/1.1 504 ") and 0.8 < anyio.current_time() - begun < 0.9
-        assert scene.instance.runtime.upstream.open_connections == 0 and not scene.instance.runtime.exchanges
-        assert not scene.instance.adapter.request_ids.in_flight
+def test_request_timeout_closes_the_attempts_connection_and_leaves_no_state(tmp_path: Path) -> None:
+    async def scenario(proxy: InMemoryProxy) -> None:
+        started_at = anyio.current_time()
+        response = await proxy.request(request_bytes("a1", "submit-exam", timeout_ms="900", body=b"x"))
+        assert response.startswith(b"HTTP/1.1 504 ") and 0.8 < anyio.current_time() - started_at < 0.9
+        assert proxy.instance.runtime.upstream.open_connections == 0 and not proxy.instance.runtime.exchanges
+        assert not proxy.instance.adapter.request_ids.in_flight
         await anyio.sleep(3)
-        assert not scene.instance.listener.connections and not scene.instance.runtime.timers.pending[4:]
+        assert not proxy.instance.listener.connections and not proxy.instance.runtime.timers.pending[4:]
 
-    run_in_virtual_time(tmp_path, never_respond, act)
+    run_in_virtual_time(tmp_path, never_respond, scenario)
 
 
-async def cut_short(stream: Stream, data: bytes) -> None:
+async def send_truncated(stream: Stream, data: bytes) -> None:
     await stream.send(OK[:-1])
 
 
-@pytest.mark.parametrize(("answers", "wanted"), [(never_respond, "timeout"), (cut_short, "reset")])
-def test_an_answer_that_stops_short_is_no_slow_server(
-    tmp_path: Path, answers: RequestHandler, wanted: str
+@pytest.mark.parametrize(
+    ("handle_request", "expected_outcome"), [(never_respond, "timeout"), (send_truncated, "reset")]
+)
+def test_incomplete_response_counts_as_timeout_or_reset(
+    tmp_path: Path, handle_request: RequestHandler, expected_outcome: str
 ) -> None:
-    async def act(scene: InMemoryProxy) -> None:
+    async def scenario(proxy: InMemoryProxy) -> None:
         outcomes: list[str] = []
-        ended = scene.instance.runtime.router.attempt_ended
+        original_attempt_ended = proxy.instance.runtime.router.attempt_ended
 
-        def note(request: Any, number: int, outcome: Any, latency: float, final: bool) -> None:
+        def record_outcome(request: Any, number: int, outcome: Any, latency: float, final: bool) -> None:
             outcomes.append(outcome.value)
-            ended(request, number, outcome, latency, final)
+            original_attempt_ended(request, number, outcome, latency, final)
 
-        scene.instance.runtime.router.attempt_ended = note  # type: ignore[method-assign]
-        assert b" 50" in (await scene.request(request_bytes("a1", "submit-exam", body=b"x")))[:13]
-        assert outcomes == [wanted]
+        proxy.instance.runtime.router.attempt_ended = record_outcome  # type: ignore[method-assign]
+        assert b" 50" in (await proxy.request(request_bytes("a1", "submit-exam", body=b"x")))[:13]
+        assert outcomes == [expected_outcome]
 
-    run_in_virtual_time(tmp_path, answers, act)
+    run_in_virtual_time(tmp_path, handle_request, scenario)
 
 
-@pytest.mark.parametrize("asks", [0, 1])
-def test_a_client_connection_ends_once_it_is_of_no_use(tmp_path: Path, asks: int) -> None:
-    async def act(scene: InMemoryProxy) -> None:
-        stream = await scene.net.connect(f"{HOST}:8100")
-        for number in range(asks):
+@pytest.mark.parametrize("request_count", [0, 1])
+def test_idle_client_connection_is_closed_after_its_timeout(tmp_path: Path, request_count: int) -> None:
+    async def scenario(proxy: InMemoryProxy) -> None:
+        stream = await proxy.net.connect(f"{HOST}:8100")
+        for number in range(request_count):
             await stream.send(request_bytes(f"a{number}"))
             await stream.receive()
-        begun = anyio.current_time()
+        started_at = anyio.current_time()
         with pytest.raises(STREAM_ERRORS):
             await stream.receive()
-        assert anyio.current_time() - begun < (8.5 if asks else 2.8)
+        assert anyio.current_time() - started_at < (8.5 if request_count else 2.8)
 
-    run_in_virtual_time(tmp_path, respond_ok, act)
+    run_in_virtual_time(tmp_path, respond_ok, scenario)
 
 
-def test_silent_surroundings_are_left_and_tried_again(tmp_path: Path) -> None:
+def test_silent_discovery_and_release_controller_are_called_again(tmp_path: Path) -> None:
     """Discovery and release controller accept and say nothing: neither is waited for without end. The list in
     hand is of no use by then: a change counts as told 6 s after a watch fell silent (STANDING.md)."""
 
-    async def act(scene: InMemoryProxy) -> None:
+    async def scenario(proxy: InMemoryProxy) -> None:
         await anyio.sleep(30)
-        assert scene.log.count("discovery_call_failed") >= 3 and scene.log.count("release_watch_ended") >= 4
-        assert (await scene.request(request_bytes("a1"))).startswith(
+        assert proxy.log.count("discovery_call_failed") >= 3 and proxy.log.count("release_watch_ended") >= 4
+        assert (await proxy.request(request_bytes("a1"))).startswith(
             b"HTTP/1.1 503"
-        ) and not scene.connections
+        ) and not proxy.connections
 
-    async def quiet(stream: Stream) -> None:
+    async def silent_service(stream: Stream) -> None:
         await anyio.sleep_forever()
 
-    run_in_virtual_time(tmp_path, respond_ok, act, {8101: quiet})
+    run_in_virtual_time(tmp_path, respond_ok, scenario, {8101: silent_service})
 
 
-@pytest.mark.parametrize("tail", [b"", b"noise", b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"])
-def test_behind_a_good_list_that_ends_its_connection_another_is_opened(tmp_path: Path, tail: bytes) -> None:
+@pytest.mark.parametrize("trailing_bytes", [b"", b"noise", b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"])
+def test_watch_goes_on_over_a_new_connection_after_a_response_that_ends_the_old_one(
+    tmp_path: Path, trailing_bytes: bytes
+) -> None:
     """What stands behind an answer is not taken for the next, and the watch goes on at once."""
-    calls: list[float] = []
+    call_times: list[float] = []
 
-    async def discovery(stream: Stream) -> None:
+    async def serve_discovery(stream: Stream) -> None:
         await stream.receive()
-        calls.append(anyio.current_time())
-        page = {"revision": 1 + len(calls), "complete": False, "members": []}
+        call_times.append(anyio.current_time())
+        page = {"revision": 1 + len(call_times), "complete": False, "members": []}
         body = json.dumps(page).encode()
-        closes = b"" if tail else b"Connection: close\r\n"
+        connection_header = b"" if trailing_bytes else b"Connection: close\r\n"
         await anyio.sleep(0.5)
-        head = b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n" % (closes, len(body))
-        await stream.send(head + body + tail)
+        head = b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n" % (connection_header, len(body))
+        await stream.send(head + body + trailing_bytes)
         with pytest.raises(STREAM_ERRORS):
             await stream.receive()
 
-    async def act(scene: InMemoryProxy) -> None:
+    async def scenario(proxy: InMemoryProxy) -> None:
         await anyio.sleep(3.2 - anyio.current_time())
-        assert len(calls) == 7 and scene.instance.discovery.endpoints.revision == 7
-        assert "discovery_call_failed" not in scene.log
+        assert len(call_times) == 7 and proxy.instance.discovery.endpoints.revision == 7
+        assert "discovery_call_failed" not in proxy.log
 
-    run_in_virtual_time(tmp_path, respond_ok, act, {8101: discovery})
+    run_in_virtual_time(tmp_path, respond_ok, scenario, {8101: serve_discovery})
 
 
-def test_a_loop_that_stood_still_is_noted(tmp_path: Path) -> None:
+def test_event_loop_stall_is_logged(tmp_path: Path) -> None:
     """Else slowness that is the proxy's own reads as the servers' and nobody can tell."""
 
-    async def act(scene: InMemoryProxy) -> None:
+    async def scenario(proxy: InMemoryProxy) -> None:
         await anyio.sleep(6)
-        assert "event_loop_delayed" not in scene.log
-        clock = scene.instance.runtime.timers.clock
-        behind = 0.0
-        scene.instance.runtime.timers.clock = lambda: clock() + behind
-        scene.instance.runtime.timers.call_after(0.0, lambda: None)
+        assert "event_loop_delayed" not in proxy.log
+        clock = proxy.instance.runtime.timers.clock
+        clock_offset = 0.0
+        proxy.instance.runtime.timers.clock = lambda: clock() + clock_offset
+        proxy.instance.runtime.timers.call_after(0.0, lambda: None)
         await anyio.sleep(1)
-        behind = 0.3
+        clock_offset = 0.3
         await anyio.sleep(5)
-        assert scene.log.count("event_loop_delayed") == 1
+        assert proxy.log.count("event_loop_delayed") == 1
 
-    run_in_virtual_time(tmp_path, respond_ok, act)
+    run_in_virtual_time(tmp_path, respond_ok, scenario)
