--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -198,7 +198,7 @@
         assert got == b"" or 400 <= status(got) < 600
         assert status(await running.request(request_bytes("b1"))) == 200
 
-    play(tmp_path, [fixed_response_server(OK, seen=seen)], scene)
+    play(tmp_path, [fixed_response_server(OK, received_requests=seen)], scene)
     assert len(seen) == 1  # nothing of it reached a server
 
 
--- a/tests/support/platform_scene.py
+++ b/tests/support/platform_scene.py
@@ -29,7 +29,7 @@
     """Keeps the connection and says nothing."""
 
 
-async def quiet_discovery(stream: Stream) -> None:
+async def idle_discovery(stream: Stream) -> None:
     """Discovery in which nothing changes: each call is answered when its wait is over."""
     try:
         while True:
@@ -58,18 +58,18 @@
 
 def run_in_virtual_time(
     folder: Path,
-    answers: RequestHandler,
-    act: Callable[[InMemoryProxy], Awaitable[None]],
-    around: Mapping[int, ConnectionHandler] | None = None,
-    **changes: Any,
+    handle_request: RequestHandler,
+    scenario: Callable[[InMemoryProxy], Awaitable[None]],
+    services: Mapping[int, ConnectionHandler] | None = None,
+    **overrides: Any,
 ) -> None:
-    """`around` says who serves at which port of discovery's and the release controller's, else the former
+    """`services` says who serves at which port of discovery's and the release controller's, else the former
     knows of nothing new and the latter is silent."""
     path = folder / "config.json"
     known = {"revision": 1, "complete": True, "members": [endpoint_entry("s-1", SERVER_ADDRESS)]}
-    path.write_text(json.dumps(configuration(known=known, **changes)))
+    path.write_text(json.dumps(configuration(known=known, **overrides)))
 
-    async def scene() -> None:
+    async def run_scenario() -> None:
         net, log = MemoryNet(), list[str]()
         async with anyio.create_task_group() as tasks:
             net.running = tasks
@@ -79,26 +79,31 @@
                 lambda event, **fields: log.append(event),
                 wall_clock=anyio.current_time,
             )
-            made = InMemoryProxy(net, instance, log)
+            proxy = InMemoryProxy(net, instance, log)
 
-            async def server(stream: Stream) -> None:
-                made.connections += 1
+            async def handle_server_connection(stream: Stream) -> None:
+                proxy.connections += 1
                 try:
                     while True:
-                        await answers(stream, await stream.receive())
+                        await handle_request(stream, await stream.receive())
                 except STREAM_ERRORS:
                     pass
 
-            async def quiet(stream: Stream) -> None:
+            async def silent_service(stream: Stream) -> None:
                 await anyio.sleep_forever()
 
-            for port, script in {8200: server, 8101: quiet_discovery, 8102: quiet, **(around or {})}.items():
+            for port, handler in {
+                8200: handle_server_connection,
+                8101: idle_discovery,
+                8102: silent_service,
+                **(services or {}),
+            }.items():
                 started = anyio.Event()
-                tasks.start_soon(net.serve, f"{HOST}:{port}", script, started)
+                tasks.start_soon(net.serve, f"{HOST}:{port}", handler, started)
                 await started.wait()
             await instance.serve(tasks)
-            await act(made)
+            await scenario(proxy)
             tasks.cancel_scope.cancel()
 
     clock = trio.testing.MockClock(autojump_threshold=0)
-    anyio.run(scene, backend="trio", backend_options={"clock": clock})
+    anyio.run(run_scenario, backend="trio", backend_options={"clock": clock})
--- a/tests/support/platform_world.py
+++ b/tests/support/platform_world.py
@@ -56,12 +56,12 @@
     }  # fmt: skip
 
 
-def configuration(**changes: Any) -> dict[str, Any]:
+def configuration(**overrides: Any) -> dict[str, Any]:
     return {
         "name": "n0", "listen": f"{HOST}:8100", "discovery": f"{HOST}:8101", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 0.85, "memory_mb": 64, "sockets": 256}, "peer_listen": f"{HOST}:8103",
         "peers": [f"{HOST}:8103"], "platform": {"address": f"{HOST}:8102", "news": RELEASE_STATUS},
-        "known": {"revision": 1, "complete": True, "members": []}, "settings": SETTINGS, **changes,
+        "known": {"revision": 1, "complete": True, "members": []}, "settings": SETTINGS, **overrides,
     }  # fmt: skip
 
 
@@ -90,31 +90,31 @@
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
     """A message with a told length, or none: head and body. Raises IncompleteReadError at the end."""
     head = await reader.readuntil(b"\r\n\r\n")
-    size = 0
+    body_length = 0
     for line in head.lower().split(b"\r\n"):
         if line.startswith(b"content-length:"):
-            size = int(line.split(b":")[1])
-    return head, await reader.readexactly(size) if size else b""
+            body_length = int(line.split(b":")[1])
+    return head, await reader.readexactly(body_length) if body_length else b""
 
 
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 def fixed_response_server(
-    answer: bytes, delay: float = 0.0, seen: list[bytes] | None = None
+    response: bytes, delay: float = 0.0, received_requests: list[bytes] | None = None
 ) -> ConnectionHandler:
     """A server that gives each request the same answer."""
 
-    async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head, body = await read_message(reader)
-            if seen is not None:
-                seen.append(head + body)
+            if received_requests is not None:
+                received_requests.append(head + body)
             if delay:
                 await asyncio.sleep(delay)
-            writer.write(answer)
+            writer.write(response)
 
-    return script
+    return handle_connection
 
 
 class StubPlatform:
@@ -132,20 +132,20 @@
         self.status_streams: list[asyncio.StreamWriter] = []
         self.tasks: set[asyncio.Task[Any]] = set()
 
-    async def serve(self, port: int, script: ConnectionHandler) -> str:
-        async def shielded(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, port: int, handler: ConnectionHandler) -> str:
+        async def run_handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             task = asyncio.current_task()
             assert task is not None
             self.tasks.add(task)
             try:
-                await script(reader, writer)
+                await handler(reader, writer)
             except (OSError, EOFError, asyncio.LimitOverrunError, asyncio.CancelledError):
                 pass
             finally:
                 self.tasks.discard(task)
                 writer.close()
 
-        server = await asyncio.start_server(shielded, HOST, port)
+        server = await asyncio.start_server(run_handler, HOST, port)
         self.servers.append(server)
         return f"{HOST}:{port}"
 
@@ -154,8 +154,8 @@
             if any(sock.getsockname()[1] == port for sock in server.sockets):
                 server.close()
 
-    async def add_server(self, port: int, script: ConnectionHandler, **fields: Any) -> None:
-        self.members.append(endpoint_entry(f"s-{port}", await self.serve(port, script), **fields))
+    async def add_server(self, port: int, handler: ConnectionHandler, **fields: Any) -> None:
+        self.members.append(endpoint_entry(f"s-{port}", await self.serve(port, handler), **fields))
 
     def publish_list(self) -> None:
         """The list has changed."""
@@ -214,15 +214,15 @@
 
     async def start(self, *command: str) -> None:
         environment = {**os.environ, "PROXY_CONFIG": str(self.path), "PROXY_NAME": "n0"}
-        words = command or ("/bin/sh", "-c", RUN_COMMAND)
+        arguments = command or ("/bin/sh", "-c", RUN_COMMAND)
         self.process = await asyncio.create_subprocess_exec(
-            *words, env=environment, stderr=asyncio.subprocess.PIPE
+            *arguments, env=environment, stderr=asyncio.subprocess.PIPE
         )
-        until = asyncio.get_running_loop().time() + READY_TIMEOUT_SECONDS
-        while asyncio.get_running_loop().time() < until:
+        deadline = asyncio.get_running_loop().time() + READY_TIMEOUT_SECONDS
+        while asyncio.get_running_loop().time() < deadline:
             try:
-                answer = await self.request(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-                if answer.startswith(b"HTTP/1.1 200"):
+                response = await self.request(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+                if response.startswith(b"HTTP/1.1 200"):
                     return
             except OSError:
                 pass
@@ -237,12 +237,12 @@
         host, port = self.configuration["listen"].split(":")
         return await asyncio.open_connection(host, int(port))
 
-    async def request(self, data: bytes, within: float = 3.0) -> bytes:
+    async def request(self, data: bytes, timeout_seconds: float = 3.0) -> bytes:
         """One request on a connection of its own, and its whole answer; b"" for a close without one."""
         reader, writer = await self.connect()
         try:
             writer.write(data)
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_seconds):
                 head, body = await read_message(reader)
             return head + body
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -254,5 +254,5 @@
         """SIGTERM, and what it logged."""
         if self.process.returncode is None:
             self.process.terminate()
-        _, logged = await asyncio.wait_for(self.process.communicate(), 10)
-        return logged
+        _, log_output = await asyncio.wait_for(self.process.communicate(), 10)
+        return log_output
