--- a/gullmount/platform/discovery_client.py
+++ b/gullmount/platform/discovery_client.py
@@ -1,6 +1,6 @@
-"""One call of discovery over HTTP: connecting, the request, and the answer within its deadlines.
+"""HTTP client for discovery: connects, sends one request and reads its response within deadlines.
 
-Each way in which a call can fail raises DiscoveryCallError with the failure that `endpoint_freshness` knows.
+Every failure of a call raises DiscoveryCallError with the `CallFailure` that `endpoint_freshness` expects.
 """
 
 from __future__ import annotations
@@ -23,9 +23,11 @@
 
 CONNECT_TIMEOUT_SECONDS = 0.8
 MAX_HEAD_BYTES = 8192
-MAX_LIST_BYTES = 2 << 20  # indented, some 3,200 servers with names of 300 characters
+# Room for about 3,200 servers with names of 300 characters in indented JSON.
+MAX_LIST_BYTES = 2 << 20
 MILLISECONDS_PER_SECOND = 1000
 STATUS_OK = 200
+# Errors of a connect that this machine causes: no descriptors, ports, memory or permission, or a signal.
 LOCAL_CONNECT_ERRNOS = (
     errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EADDRINUSE,
     errno.EAGAIN, errno.EINTR, errno.EPERM, errno.EACCES,
@@ -33,11 +35,11 @@
 
 
 class DiscoveryCallError(GullmountError):
-    """A call of discovery brought no usable answer.
+    """A call of discovery did not get a usable response.
 
     Attributes:
-        failure: How it ended, as the freshness of the list takes it.
-        detail: What was seen.
+        failure: The kind of failure, as passed to `EndpointFreshness.call_failed`.
+        detail: The error that was observed, for the log.
     """
 
     def __init__(self, failure: CallFailure, detail: str) -> None:
@@ -47,29 +49,35 @@
 
 
 class DiscoveryCall:
-    """One call under way; times are seconds of the proxy's clock."""
+    """The progress of one call; times are in seconds of the proxy's clock."""
 
     def __init__(self, number: int, planned: PlannedCall, began_at: float) -> None:
         self.number = number
         self.planned = planned
         self.began_at = began_at
         self.first_byte_at = inf
-        self.earliest_arrival_at = inf  # the earliest time at which its first byte can have arrived
+        # The earliest time at which the first byte can have arrived; after a stall of the event loop, it is
+        # before the byte was read.
+        self.earliest_arrival_at = inf
         self.last_byte_at = -inf
         self.body_bytes = 0
 
     def deadline(self) -> float:
-        """Return until when the next bytes are waited for."""
+        """Return the time at which the call is abandoned if no further bytes arrive."""
         return response_deadline(self.planned, self.began_at, self.last_byte_at, self.first_byte_at)
 
     def record_bytes(self, now: float, arrived_at: float) -> None:
-        """Note that something was read, and the earliest time at which it can have arrived."""
+        """Record that bytes were read at `now` and cannot have arrived before `arrived_at`."""
         self.earliest_arrival_at = min(self.earliest_arrival_at, arrived_at)
         self.first_byte_at = min(self.first_byte_at, now)
         self.last_byte_at = now
 
     def count_body_bytes(self, byte_count: int) -> None:
-        """Count bytes of the body; raises EndpointListTooLongError."""
+        """Add to the size of the body.
+
+        Raises:
+            EndpointListTooLongError: The body is longer than `MAX_LIST_BYTES`.
+        """
         self.body_bytes += byte_count
         if self.body_bytes > MAX_LIST_BYTES:
             raise EndpointListTooLongError(MAX_LIST_BYTES)
@@ -77,17 +85,17 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryResponse:
-    """A good answer of discovery."""
+    """A usable response of discovery."""
 
     page: EndpointPage
-    """The list, or the entries that changed."""
+    """The complete list, or the entries that changed."""
 
     reusable: bool
-    """Whether the connection may carry another call."""
+    """Whether another call can be sent on the same connection."""
 
 
 class DiscoveryClient:
-    """Makes one call at a time on a connection that is kept between calls."""
+    """Makes one call at a time and keeps the connection open between calls."""
 
     def __init__(self, net: Net, now: Callable[[], float], stalls: EventLoopStalls) -> None:
         self.net = net
@@ -96,10 +104,14 @@
         self.stream: Stream | None = None
 
     async def connect(self, address: str) -> Stream:
-        """Return the kept connection or a new one; raises DiscoveryCallError.
+        """Return the open connection, or open one.
 
-        Discovery counts as unreachable only where the other side or the network says so. Where this machine
-        lacks descriptors, ports or memory, discovery could have told something.
+        The failure is UNREACHABLE only if the peer or the network refuses the connection or does not
+        respond. If this machine lacks descriptors, ports or memory, the failure is BROKEN: discovery may be
+        reachable, so a change of the list can count as notified.
+
+        Raises:
+            DiscoveryCallError: No connection could be opened.
         """
         if self.stream is not None:
             return self.stream
@@ -117,7 +129,7 @@
         return self.stream
 
     async def disconnect(self) -> None:
-        """Close the connection, if there is one."""
+        """Close the connection if one is open."""
         stream, self.stream = self.stream, None
         if stream is not None:
             await anyio.aclose_forcefully(stream)
@@ -125,7 +137,11 @@
     async def get_page(
         self, stream: Stream, address: str, after_revision: int, call: DiscoveryCall
     ) -> DiscoveryResponse:
-        """Ask for what changed after a revision, 0 for the complete list; raises DiscoveryCallError."""
+        """Request the changes after a revision; revision 0 requests the complete list.
+
+        Raises:
+            DiscoveryCallError: Discovery refused the call, fell silent, or sent an unusable response.
+        """
         try:
             await self.send_request(stream, address, after_revision, call)
             return await self.read_response(stream, call)
@@ -137,7 +153,12 @@
     async def send_request(
         self, stream: Stream, address: str, after_revision: int, call: DiscoveryCall
     ) -> None:
-        """Write the request; raises TimeoutError or what a broken stream does."""
+        """Write the request.
+
+        Raises:
+            TimeoutError: The request was not written before the call's deadline.
+            STREAM_ERRORS: The stream broke or was closed.
+        """
         wait_ms = round(call.planned.wait * MILLISECONDS_PER_SECOND)
         target = f"/v1/servers?after={after_revision}&wait_ms={wait_ms}"
         request = f"GET {target} HTTP/1.1\r\nHost: {address}\r\n\r\n".encode()
@@ -145,11 +166,16 @@
             await stream.send(request)
 
     async def read_response(self, stream: Stream, call: DiscoveryCall) -> DiscoveryResponse:
-        """Read one answer to its end.
+        """Read one response to its end.
+
+        The connection is not reusable if bytes follow the response: they would be read as the next response.
 
-        Bytes behind a good answer make the connection unusable, as they would be taken for the next answer.
-        Raises DiscoveryCallError for a refusal, else InvalidPlatformMessageError, ProtocolError, TimeoutError
-        or what a broken stream does.
+        Raises:
+            DiscoveryCallError: The status is not 200.
+            InvalidPlatformMessageError: The body is too long or is not an endpoint list.
+            ProtocolError: The response is not valid HTTP.
+            TimeoutError: No byte arrived before the call's deadline.
+            STREAM_ERRORS: The stream broke or was closed.
         """
         parser = ResponseParser(MAX_HEAD_BYTES, "GET")
         body: list[bytes] = []
@@ -165,7 +191,7 @@
                 return DiscoveryResponse(decode_page(b"".join(body)), reusable)
 
     async def next_part(self, stream: Stream, parser: ResponseParser, call: DiscoveryCall) -> MessagePart:
-        """Return the answer's next part, receiving where none is there yet."""
+        """Return the next part of the response, and receive data until one is complete."""
         while not parser.parts:
             if parser.error is not None:
                 raise parser.error
@@ -176,6 +202,6 @@
 
 
 def connect_errno(error: BaseException) -> int | None:
-    """Return the errno of a failed connect, which anyio wraps in an error without one."""
+    """Return the errno of a failed connect, also if anyio wrapped the error in one without an errno."""
     cause = error.__cause__ if error.__cause__ is not None else error
     return getattr(cause, "errno", None)
--- a/gullmount/platform/discovery_watch.py
+++ b/gullmount/platform/discovery_watch.py
@@ -1,8 +1,8 @@
-"""Keeps the endpoint list up to date by calls of discovery, as `decisions.endpoint_freshness` plans them.
+"""Keeps the endpoint list up to date by calls of discovery.
 
-Nothing is decided here: the end of each call is told to the freshness, which says when and how discovery is
-called next and whether the list may still be routed by. What cannot be read ends its call, and the list in
-force stays.
+`decisions.endpoint_freshness` makes the decisions: it is told how each call ended, plans the next call, and
+says whether requests may still be routed by the list. A response that cannot be decoded ends its call, and
+the list in force stays.
 """
 
 from __future__ import annotations
@@ -26,10 +26,15 @@
 
 
 class DiscoveryWatch(ServiceWatch):
-    """Lives as long as the instance.
-
-    `addresses` by server are shared with the protocol adapter; `wall_clock` is the clock of servers' starts,
-    in seconds; `instance_count` the size of the fleet.
+    """Calls discovery for as long as the instance runs and applies each response.
+
+    Args:
+        runtime: The router, clock, log and task group of the instance.
+        addresses: The address of each server by id, shared with the protocol adapter.
+        net: Opens connections.
+        address: The address of discovery, of the form host:port.
+        wall_clock: Returns the Unix time in seconds; servers' start times are given in Unix time.
+        instance_count: The number of proxy instances in the fleet, 1 by default.
     """
 
     def __init__(
@@ -48,34 +53,46 @@
         self.logged_state = EndpointListState.SUSPECT
         start_times = ServerStartTimes(runtime.now, wall_clock)
         self.endpoints = EndpointCache(runtime, addresses, self.freshness, start_times)
-        self.first_call_ended = anyio.Event()  # by an answer, or as discovery could not be reached
+        # Set by the first usable response, or once discovery could not be reached.
+        self.first_call_ended = anyio.Event()
         self.call_count = 0
         self.running = False
         runtime.router.endpoints_are_stale = self.freshness.is_stale
 
     def apply_configured_list(self, fields: dict[str, Any]) -> None:
-        """Start from the list in the configuration file; raises InvalidPlatformMessageError."""
+        """Apply the list from the configuration file.
+
+        Raises:
+            InvalidPlatformMessageError: The list is invalid; no entry of it is applied.
+        """
         self.apply_page(convert_page(fields), EndpointUpdateKind.CACHED)
 
     def apply_page(self, page: EndpointPage, kind: EndpointUpdateKind) -> None:
-        """Put a page in force; raises InvalidPlatformMessageError, and then nothing of it is in force."""
+        """Apply a page.
+
+        Raises:
+            InvalidPlatformMessageError: The page is invalid; no entry of it is applied.
+        """
         self.endpoints.apply(page, kind)
 
     def start(self) -> None:
-        """Begin the calls, which go on for ever; a second start changes nothing."""
+        """Start calling discovery in the background; has no effect if already started."""
         if not self.running:
             self.running = True
             self.runtime.task_group.start_soon(self.run)
 
     def change_address(self, address: str) -> None:
-        """Ask another service for the complete list at once: it may count its revisions in its own way."""
+        """Call discovery at another address; the same address changes nothing.
+
+        The new service is asked for the complete list, because its revisions may be numbered independently.
+        """
         if address != self.address:
             self.endpoints.forget_revision()
             self.freshness.discovery_address_changed(self.runtime.now())
         super().change_address(address)
 
     async def run(self) -> None:
-        """Call for ever; a change of the address cuts the call under way or the pause before it."""
+        """Call discovery until cancelled; a change of the address cancels the current call or delay."""
         while True:
             address = self.address
             with anyio.CancelScope() as self.watch_scope:
@@ -83,10 +100,11 @@
                     await self.call_when_due()
             await self.client.disconnect()
             if self.address != address:
-                self.endpoints.forget_revision()  # also where an answer of the old service was just applied
+                # A response of the old service may have been applied after the address changed.
+                self.endpoints.forget_revision()
 
     async def call_when_due(self) -> None:
-        """Wait for the planned call and make it."""
+        """Wait until the planned call is due, make it, and record how it ended."""
         planned = self.freshness.next_call
         delay = planned.not_before - self.runtime.now()
         if delay > 0:
@@ -105,7 +123,11 @@
         self.log_state_change()
 
     async def make_call(self, call: DiscoveryCall) -> None:
-        """Make one call and apply its answer; raises DiscoveryCallError."""
+        """Make one call and apply its response.
+
+        Raises:
+            DiscoveryCallError: The call failed, or its response cannot be applied.
+        """
         stream = await self.client.connect(self.address)
         response = await self.client.get_page(stream, self.address, self.endpoints.revision, call)
         try:
@@ -117,7 +139,7 @@
             await self.client.disconnect()
 
     def record_success(self, call: DiscoveryCall, page: EndpointPage) -> None:
-        """Renew the list's freshness and log the call."""
+        """Report the call to `freshness`, which renews the list's age, and log it."""
         now = self.runtime.now()
         self.freshness.call_succeeded(call.began_at, now, call.earliest_arrival_at)
         self.first_call_ended.set()
@@ -133,7 +155,7 @@
         )
 
     def record_failure(self, call: DiscoveryCall, error: DiscoveryCallError) -> None:
-        """Let the freshness plan the next call and log the failure."""
+        """Report the failure to `freshness`, which plans the next call, and log it."""
         now = self.runtime.now()
         self.freshness.call_failed(error.failure, call.began_at, now)
         if error.failure is CallFailure.UNREACHABLE:
@@ -152,7 +174,7 @@
         )
 
     def log_state_change(self) -> None:
-        """Log the list's state where it is another than was logged last."""
+        """Log the state of the list if it changed since it was last logged."""
         state = self.freshness.state(self.runtime.now())
         if state is self.logged_state:
             return
--- a/gullmount/platform/endpoint_cache.py
+++ b/gullmount/platform/endpoint_cache.py
@@ -1,7 +1,7 @@
-"""The endpoint list in force: which process stands behind each server, and what a new page changes.
+"""Holds the endpoint list in force and applies pages of discovery to it.
 
-A page is applied as a whole or not at all: connections to servers that moved, drained or left are closed, and
-the router is told.
+A page is applied as a whole or not at all. Connections to servers that changed their process, drain or were
+removed are closed, and the router is updated.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 from gullmount.platform.server_start_times import ServerStartTimes
 from gullmount.proxy.runtime import BufferedRuntime
 
-NO_REVISION = 0  # the revision after which discovery is asked for the complete list
+# Discovery sends the complete list to a call with this revision.
+NO_REVISION = 0
 
 
 class ServerProcess(msgspec.Struct, frozen=True, gc=False):
-    """What stands behind a server's id; a change of it means another process."""
+    """The process that serves under a server's id; a change of any field means another process."""
 
     address: str
     build: int
@@ -27,7 +28,14 @@
 
 
 class EndpointCache:
-    """Lives as long as the instance; `addresses` by server are shared with the protocol adapter."""
+    """The endpoint list of one instance.
+
+    Args:
+        runtime: The router, the connections to servers, clock and log of the instance.
+        addresses: The address of each server by id, shared with the protocol adapter.
+        freshness: The age of the list.
+        start_times: Converts servers' start times to the monotonic clock.
+    """
 
     def __init__(
         self,
@@ -41,26 +49,31 @@
         self.freshness = freshness
         self.start_times = start_times
         self.revision = NO_REVISION
-        self.processes: dict[str, ServerProcess] = {}  # by server
+        self.processes: dict[str, ServerProcess] = {}  # by server id
 
     def forget_revision(self) -> None:
-        """Ask for the complete list next."""
+        """Make the next call request the complete list."""
         self.revision = NO_REVISION
 
     def apply(self, page: EndpointPage, kind: EndpointUpdateKind) -> None:
-        """Put a page in force; raises InvalidPlatformMessageError, and then nothing of it is in force."""
+        """Apply a page.
+
+        Raises:
+            InvalidPlatformMessageError: The page is invalid; no entry of it is applied.
+        """
         endpoints = self.decode_endpoints(page, kind)
         for entry, endpoint in zip(page.entries, endpoints, strict=True):
             self.update_process(entry, endpoint)
         if kind is not EndpointUpdateKind.UPDATE:
             self.remove_unlisted({endpoint.server_id for endpoint in endpoints})
-        # With a lower revision the service counts anew, and knows nothing of what is held here.
+        # A lower revision means that discovery restarted its numbering and does not know the revision held
+        # here, so the complete list is requested next.
         revision_restarted = kind is EndpointUpdateKind.UPDATE and page.revision < self.revision
         self.revision = NO_REVISION if revision_restarted else page.revision
         self.runtime.router.update_endpoints(kind, endpoints)
 
     def decode_endpoints(self, page: EndpointPage, kind: EndpointUpdateKind) -> list[Endpoint]:
-        """Convert the entries, once more where the newest start corrects the wall clock."""
+        """Convert the entries, and convert them again if the newest start time corrects the clock offset."""
         endpoints = [self.decode_entry(entry, kind) for entry in page.entries]
         newest_start_ms = max((entry.started_at_ms or 0 for entry in page.entries), default=0)
         if not self.start_times.correct_clock_offset(newest_start_ms):
@@ -70,7 +83,11 @@
         return [self.decode_entry(entry, kind) for entry in page.entries]
 
     def decode_entry(self, entry: EndpointEntry, kind: EndpointUpdateKind) -> Endpoint:
-        """Convert one entry; raises InvalidEndpointFieldError."""
+        """Convert one entry.
+
+        Raises:
+            InvalidEndpointFieldError: A field of the entry has an invalid value.
+        """
         previous = self.processes.get(entry.server_id)
         is_fresh = self.freshness.state(self.runtime.now()) is EndpointListState.FRESH
         restarted = previous is None or previous.started_at_ms != entry.started_at_ms
@@ -79,7 +96,7 @@
         return decode_endpoint(entry, self.start_times.start_time(entry.started_at_ms, unlisted_at))
 
     def update_process(self, entry: EndpointEntry, endpoint: Endpoint) -> None:
-        """Note what stands behind a server now, and close connections that must not be used any more."""
+        """Record a server's process, and close its connections if the process changed or is not ready."""
         server_id = endpoint.server_id
         process = ServerProcess(entry.address, endpoint.build, entry.started_at_ms)
         if self.processes.get(server_id, process) != process or endpoint.state is not EndpointState.READY:
@@ -92,7 +109,7 @@
             self.addresses[server_id] = entry.address
 
     def remove_unlisted(self, listed_servers: set[str]) -> None:
-        """Drop all servers that a complete list does not name."""
+        """Remove all servers that are not on a complete list, and close their connections."""
         for server_id in [server_id for server_id in self.processes if server_id not in listed_servers]:
             self.runtime.upstream.remove_server(server_id)
             del self.processes[server_id], self.addresses[server_id]
--- a/gullmount/platform/endpoint_codec.py
+++ b/gullmount/platform/endpoint_codec.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery writes it, decoded and checked. No I/O."""
+"""Decodes and validates the endpoint list in discovery's format. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,8 +10,10 @@
 from gullmount.net.types import AddressError, parse_address
 from gullmount.platform.errors import InvalidEndpointFieldError, InvalidEndpointPageError
 
-MAX_CAPACITY_HINT = 1e9  # relative to other servers
-MIN_CAPACITY_HINT = 1e-9  # a smaller one counts as none, as the decisions divide by it
+# Capacity hints have no unit: they are relative to those of other servers.
+MAX_CAPACITY_HINT = 1e9
+# The decisions divide by the hint, so a smaller one is treated as absent.
+MIN_CAPACITY_HINT = 1e-9
 ENDPOINT_STATES = {
     "ready": EndpointState.READY,
     "draining": EndpointState.DRAINING,
@@ -20,7 +22,7 @@
 
 
 class EndpointEntry(msgspec.Struct):
-    """One server as discovery lists it."""
+    """One server in discovery's list."""
 
     server_id: str = msgspec.field(name="id")
     address: str = msgspec.field(name="host_port")
@@ -30,11 +32,11 @@
     build: int = msgspec.field(name="version_no")
     capacity_hint: float = msgspec.field(default=1.0, name="size")
     started_at_ms: float | None = msgspec.field(default=0, name="up_since_ms")
-    """Unix time in milliseconds; 0 or None where it is not known."""
+    """Unix time in milliseconds; 0 or None if unknown."""
 
 
 class EndpointPage(msgspec.Struct):
-    """One answer of discovery: the complete list, or the entries that changed."""
+    """One response of discovery: the complete list, or the entries that changed."""
 
     revision: int
     complete: bool
@@ -42,12 +44,16 @@
 
     @property
     def kind(self) -> EndpointUpdateKind:
-        """How the decisions are to take the entries."""
+        """SNAPSHOT if the page is the complete list, else UPDATE."""
         return EndpointUpdateKind.SNAPSHOT if self.complete else EndpointUpdateKind.UPDATE
 
 
 def decode_page(data: bytes) -> EndpointPage:
-    """Decode the body of an answer; raises InvalidEndpointPageError."""
+    """Decode the body of a response.
+
+    Raises:
+        InvalidEndpointPageError: The body is not JSON of the expected form.
+    """
     try:
         return msgspec.json.decode(data, type=EndpointPage)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -55,7 +61,11 @@
 
 
 def convert_page(fields: dict[str, Any]) -> EndpointPage:
-    """Convert the list that the configuration file holds; raises InvalidEndpointPageError."""
+    """Convert the list from the configuration file.
+
+    Raises:
+        InvalidEndpointPageError: The list does not have the expected form.
+    """
     try:
         return msgspec.convert(fields, type=EndpointPage)
     except msgspec.ValidationError as error:
@@ -63,9 +73,14 @@
 
 
 def decode_endpoint(entry: EndpointEntry, started_at: float) -> Endpoint:
-    """Convert an entry for the decisions; raises InvalidEndpointFieldError.
+    """Convert an entry to the router's `Endpoint`.
+
+    Args:
+        entry: The entry to convert.
+        started_at: The server's start in seconds of the monotonic clock, 0 if unknown.
 
-    `started_at` is in seconds of the monotonic clock, 0 where it is not known.
+    Raises:
+        InvalidEndpointFieldError: The state, capacity hint or address is invalid.
     """
     if entry.state not in ENDPOINT_STATES:
         raise InvalidEndpointFieldError("phase", "has no such value")
