--- a/gullmount/platform/configuration.py
+++ b/gullmount/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file that PROXY_CONFIG names, read at the start and at each SIGHUP."""
+"""Reads the configuration file that PROXY_CONFIG names, at startup and on each SIGHUP."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class InvalidConfigurationError(GullmountError):
-    """The configuration cannot be used; whoever wrote the file has to change it.
+    """The configuration is missing or invalid; the file has to be corrected.
 
     Attributes:
-        path: The file; None where the environment names none.
+        path: The file; None if the environment names none.
         detail: What is wrong.
-        key: The key at fault; None where the file as a whole is.
+        key: The invalid key; None if the file as a whole is invalid.
     """
 
     def __init__(self, path: str | None, detail: str, key: str | None = None) -> None:
@@ -38,67 +38,67 @@
 
 
 class ResourceLimits(msgspec.Struct, frozen=True):
-    """What the process may use."""
+    """The resources that the process may use."""
 
     cores: float = 1.0
-    """Part of a processor core."""
+    """Number of processor cores, which may be a fraction."""
 
     memory_mebibytes: float = msgspec.field(default=192.0, name="memory_mb")
-    """Resident memory."""
+    """Resident memory in MiB."""
 
     sockets: int = 1024
-    """File descriptors."""
+    """Number of file descriptors."""
 
 
 class ReleaseControllerLocation(msgspec.Struct, frozen=True):
-    """Where the release controller is, and where the release stood when the file was written."""
+    """The release controller's address, and the release status when the file was written."""
 
     address: str
-    """Of the form host:port."""
+    """The address, of the form host:port."""
 
     status_fields: dict[str, Any] | None = msgspec.field(default=None, name="news")
-    """The release status, checked when it is applied."""
+    """The release status, validated when it is applied; None if there is none."""
 
 
 class ConfigurationFile(msgspec.Struct, frozen=True):
-    """The file as it stands; keys that are not named here are not read.
+    """The content of the configuration file; unknown keys are ignored.
 
     Addresses are of the form host:port.
     """
 
     name: str
-    """Of the instance, for the log."""
+    """The name of the instance, for the log."""
 
     listen_address: str = msgspec.field(name="listen")
-    """Where clients connect."""
+    """The address on which clients are accepted."""
 
     discovery_address: str = msgspec.field(name="discovery")
-    """Of the discovery service."""
+    """The address of discovery."""
 
     seed: str
-    """Of the random draws, hexadecimal."""
+    """The seed of the random number generator, in hexadecimal."""
 
     release_controller: ReleaseControllerLocation = msgspec.field(name="platform")
-    """Where the release controller is."""
+    """The release controller's address and the release status."""
 
     settings: dict[str, Any]
     """The instance's settings, decoded by `gullmount.settings`."""
 
     limits: ResourceLimits = ResourceLimits()
-    """What the process may use."""
+    """The resources that the process may use."""
 
     gossip_address: str | None = msgspec.field(default=None, name="peer_listen")
-    """Where peers' votes are received; None where there are no peers."""
+    """The address on which peers' votes are received; None if there are no peers."""
 
     peer_addresses: list[str] = msgspec.field(default=[], name="peers")
-    """All instances, in the order of their numbers."""
+    """The gossip addresses of all instances, in the order of their numbers."""
 
     endpoint_list_fields: dict[str, Any] | None = msgspec.field(default=None, name="known")
-    """The endpoint list as it was when the file was written, checked when it is applied."""
+    """The endpoint list when the file was written, validated when it is applied; None if there is none."""
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """The file, and its settings as the decisions and the sockets take them."""
+    """The configuration file, and the settings decoded from it."""
 
     file: ConfigurationFile
     instance: InstanceSettings
@@ -106,7 +106,11 @@
 
 
 def read_configuration(environment: Mapping[str, str]) -> Configuration:
-    """Read and check the file that the environment names; raises InvalidConfigurationError."""
+    """Read and validate the file that the environment names.
+
+    Raises:
+        InvalidConfigurationError: PROXY_CONFIG is not set, or the file is unreadable or invalid.
+    """
     path = environment.get(PATH_VARIABLE)
     if not path:
         raise InvalidConfigurationError(None, f"{PATH_VARIABLE} is not set")
@@ -124,7 +128,11 @@
 
 
 def read_file(path: str) -> ConfigurationFile:
-    """Read the file's keys; raises InvalidConfigurationError."""
+    """Read and decode the file.
+
+    Raises:
+        InvalidConfigurationError: The file is unreadable or is not JSON of the expected form.
+    """
     try:
         return msgspec.json.decode(Path(path).read_bytes(), type=ConfigurationFile)
     except OSError as error:
@@ -134,7 +142,11 @@
 
 
 def check_addresses(path: str, file: ConfigurationFile) -> None:
-    """Raise InvalidConfigurationError for the first text that is no address."""
+    """Validate all addresses in the file.
+
+    Raises:
+        InvalidConfigurationError: An address is not of the form host:port; names the first such key.
+    """
     check_address(path, "listen", file.listen_address)
     check_address(path, "discovery", file.discovery_address)
     check_address(path, "platform.address", file.release_controller.address)
@@ -143,7 +155,11 @@
 
 
 def check_address(path: str, key: str, address: str) -> None:
-    """Raise InvalidConfigurationError where the text is not of the form host:port."""
+    """Validate one address.
+
+    Raises:
+        InvalidConfigurationError: The address is not of the form host:port.
+    """
     try:
         parse_address(address)
     except AddressError as error:
--- a/gullmount/platform/configuration_reload.py
+++ b/gullmount/platform/configuration_reload.py
@@ -1,4 +1,4 @@
-"""Reads the configuration file again after SIGHUP."""
+"""Reloads the configuration file after SIGHUP."""
 
 from __future__ import annotations
 
@@ -11,12 +11,20 @@
 from gullmount.platform.instance import PlatformInstance
 from gullmount.platform.log_events import LogEvent
 
-MAX_READ_ATTEMPTS = 16  # of a file that cannot be read, as it may be half written
-RETRY_INTERVAL_SECONDS = 0.1  # what discovery has counts as notified 4 s after SIGHUP
+# An invalid file is read again because it may be half written.
+MAX_READ_ATTEMPTS = 16
+# All attempts end within 4 s of SIGHUP, after which every change that discovery has counts as notified.
+RETRY_INTERVAL_SECONDS = 0.1
 
 
 class ConfigurationReload:
-    """Applies the file to an instance; a file that is found half written is read again for a while."""
+    """Applies the configuration file to a running instance, and retries while the file is invalid.
+
+    Args:
+        instance: The instance that the file is applied to.
+        environment: The environment variables, which name the file.
+        task_group: Runs the reads.
+    """
 
     def __init__(
         self, instance: PlatformInstance, environment: Mapping[str, str], task_group: TaskGroup
@@ -27,13 +35,16 @@
         self.read_scope = anyio.CancelScope()
 
     def begin(self) -> None:
-        """Begin to read; a read under way is dropped, as what stands in the file now is newer."""
+        """Start a reload; one in progress is cancelled, because the file is newer now."""
         self.read_scope.cancel()
         self.read_scope = anyio.CancelScope()
         self.task_group.start_soon(self.read_until_valid, self.read_scope)
 
     async def read_until_valid(self, read_scope: anyio.CancelScope) -> None:
-        """Read until the file can be applied, or as often as is allowed; the first failure is logged."""
+        """Read the file until it is valid and apply it, in at most `MAX_READ_ATTEMPTS` attempts.
+
+        Only the first failure is logged.
+        """
         with read_scope:
             await anyio.lowlevel.checkpoint()
             for attempt in range(MAX_READ_ATTEMPTS):
--- a/gullmount/platform/instance.py
+++ b/gullmount/platform/instance.py
@@ -1,4 +1,4 @@
-"""One proxy instance on the platform: its parts, its start, its move to other addresses, its shutdown."""
+"""One proxy instance on the platform: creates its components, starts them and shuts them down."""
 
 from __future__ import annotations
 
@@ -20,15 +20,31 @@
 from gullmount.proxy.listener import BufferedListener
 from gullmount.proxy.runtime import BufferedRuntime, LogFunction, read_clock
 
-FIRST_LIST_TIMEOUT_SECONDS = 6.2  # before clients are let in; longer than a first call's spread and wait
-ACCEPT_AFTER_SIGTERM_SECONDS = 0.55  # clients still connect until 0.4 s after SIGTERM
-MAX_DRAIN_DEADLINE_SECONDS = 3.0  # after SIGTERM, where the longest route timeout is longer
-KILL_MARGIN_SECONDS = 0.7  # after the drain deadline SIGKILL comes
-REJECT_MARGIN_SECONDS = 0.4  # before SIGKILL, requests still being read are rejected, lest they be cut off
+# How long the first endpoint list is awaited before clients are accepted. Longer than the random delay of the
+# first call plus the wait that it asks discovery for.
+FIRST_LIST_TIMEOUT_SECONDS = 6.2
+# Clients still connect until 0.4 s after SIGTERM.
+ACCEPT_AFTER_SIGTERM_SECONDS = 0.55
+# The drain deadline is the longest route timeout after SIGTERM, and at most this.
+MAX_DRAIN_DEADLINE_SECONDS = 3.0
+# The time from the drain deadline to SIGKILL.
+KILL_MARGIN_SECONDS = 0.7
+# Requests that are still being read are rejected this long before SIGKILL, which would cut them off.
+REJECT_MARGIN_SECONDS = 0.4
 
 
 class PlatformInstance:
-    """Serves until it is stopped; addresses may change and `stop` may be called while it serves."""
+    """Serves until it is stopped; addresses may change while it serves.
+
+    Args:
+        configuration: The configuration file and its decoded settings.
+        net: Opens and accepts connections.
+        log: Writes one log line.
+        wall_clock: Returns the Unix time in seconds.
+        clock: Returns the monotonic time in seconds.
+        first_list_timeout: How long to wait for the first endpoint list before clients are accepted, in
+            seconds, 6.2 by default.
+    """
 
     def __init__(
         self,
@@ -50,12 +66,12 @@
         self.stopping = False
 
     async def serve(self, task_group: TaskGroup) -> None:
-        """Start, and return once clients are accepted; `tasks` hold what goes on."""
+        """Start the instance and return once clients are accepted; `task_group` runs its background tasks."""
         self.create_components(task_group)
         await self.start_services(task_group)
 
     def create_components(self, task_group: TaskGroup) -> None:
-        """Make all parts; from then on addresses may change and it may be stopped."""
+        """Create all components; `apply_configuration` and `stop` may be called from then on."""
         file, sockets = self.configuration.file, self.configuration.sockets
         settings = self.configuration.instance
         self.adapter = PlatformAdapter(settings, sockets, file.limits.sockets, self.clock)
@@ -77,7 +93,10 @@
         self.apply_starting_state()
 
     def apply_starting_state(self) -> None:
-        """Start from the endpoint list and the release status that the configuration file holds."""
+        """Apply the endpoint list and the release status from the configuration file.
+
+        An invalid one is logged and the instance starts without it.
+        """
         file = self.configuration.file
         try:
             if file.endpoint_list_fields is not None:
@@ -88,7 +107,7 @@
             self.log(LogEvent.STARTING_STATE_INVALID, reason=str(error))
 
     async def start_services(self, task_group: TaskGroup) -> None:
-        """Begin all conversations; return once clients are accepted, or where it was stopped before."""
+        """Start all components and return once clients are accepted or the instance was stopped."""
         await self.start_gossip(task_group)
         self.discovery.start()
         task_group.start_soon(self.release_controller.run)
@@ -104,7 +123,7 @@
         self.log(LogEvent.LISTENING, address=address)
 
     async def start_gossip(self, task_group: TaskGroup) -> None:
-        """Exchange votes with peers, where the settings say so."""
+        """Start to exchange votes with peers, if the settings enable gossip."""
         file = self.configuration.file
         if file.gossip_address is None or not self.configuration.instance.gossip_enabled:
             return
@@ -113,12 +132,15 @@
         task_group.start_soon(gossip.receive_forever)
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Change to the addresses of a new configuration; the settings stay those of the start."""
+        """Switch to the service addresses of a new configuration; the settings are not changed."""
         self.discovery.change_address(configuration.file.discovery_address)
         self.release_controller.change_address(configuration.file.release_controller.address)
 
     async def stop(self) -> None:
-        """Answer all accepted requests, as SIGTERM asks; at once where clients were not accepted yet."""
+        """Shut down gracefully: respond to all accepted requests, then return.
+
+        Returns at once if clients were not accepted yet.
+        """
         self.stopping = True
         if not self.accepts_clients:
             self.log(LogEvent.STOPPED_BEFORE_LISTENING)
