--- a/tests/support/platform_scene.py
+++ b/tests/support/platform_scene.py
@@ -1,4 +1,7 @@
-"""The platform's proxy instance in memory and virtual time, between surroundings that a test scripts."""
+"""Runs a proxy instance in memory and virtual time against discovery, release controller and servers.
+
+A test supplies the connection handlers of these services.
+"""
 
 from __future__ import annotations
 
@@ -26,11 +29,11 @@
 
 
 async def never_respond(stream: Stream, data: bytes) -> None:
-    """Keeps the connection and says nothing."""
+    """Keep the connection open and send nothing."""
 
 
 async def idle_discovery(stream: Stream) -> None:
-    """Discovery in which nothing changes: each call is answered when its wait is over."""
+    """Discovery without changes: responds to each call when its requested wait is over."""
     try:
         while True:
             wait = re.findall(rb"wait_ms=(\d+) ", await stream.receive())
@@ -41,6 +44,8 @@
 
 
 class InMemoryProxy:
+    """A proxy instance, the events that it logged, and the number of connections to its server."""
+
     def __init__(self, net: MemoryNet, instance: PlatformInstance, log: list[str]) -> None:
         self.net, self.instance, self.log = net, instance, log
         self.connections = 0
@@ -63,8 +68,16 @@
     services: Mapping[int, ConnectionHandler] | None = None,
     **overrides: Any,
 ) -> None:
-    """`services` says who serves at which port of discovery's and the release controller's, else the former
-    knows of nothing new and the latter is silent."""
+    """Run `scenario` with a proxy instance that knows one server.
+
+    Args:
+        folder: Where the configuration file is written.
+        handle_request: Handles each request that reaches the server.
+        scenario: Called once the instance accepts clients.
+        services: Connection handlers by port; by default discovery (8101) reports no changes and the release
+            controller (8102) is silent.
+        **overrides: Top-level keys of the configuration file.
+    """
     path = folder / "config.json"
     known = {"revision": 1, "complete": True, "members": [endpoint_entry("s-1", SERVER_ADDRESS)]}
     path.write_text(json.dumps(configuration(known=known, **overrides)))
--- a/tests/support/platform_world.py
+++ b/tests/support/platform_world.py
@@ -1,6 +1,7 @@
-"""What stands round a proxy on the platform: servers, discovery, release controller, a configuration.
+"""Stubs of the services around a proxy on the platform: servers, discovery and release controller.
 
-Scripted doubles after the platform's protocol, on loopback sockets; each test says what they answer.
+They follow the platform's protocol on loopback sockets; each test chooses their responses. The module also
+has a configuration file for the proxy and runs the proxy as a process.
 """
 
 from __future__ import annotations
@@ -18,7 +19,8 @@
 from tests.support.paths import ROOT
 
 HOST = f"{own_block()}.0.2"
-READY_TIMEOUT_SECONDS = 30.0  # s, as the users' page allows: a machine that is busy with tests takes its time
+# The users' page allows this much; a machine that is busy with tests needs it.
+READY_TIMEOUT_SECONDS = 30.0
 RUN_COMMAND = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 SETTINGS: dict[str, Any] = {
@@ -49,7 +51,7 @@
 def endpoint_entry(
     server_id: str, address: str, build: int = 41, phase: str = "ready", started_at_ms: int = 0
 ) -> dict[str, Any]:
-    """A server as discovery lists it; `started_at_ms` in milliseconds of Unix time."""
+    """Return a server's entry in discovery's list; `started_at_ms` is Unix time in milliseconds."""
     return {
         "id": server_id, "host_port": address, "locality": "a", "flavor": "m2", "cell": 0, "phase": phase,
         "size": 1.0, "up_since_ms": started_at_ms, "version_no": build,
@@ -72,7 +74,7 @@
     body: bytes = b"",
     extra_headers: bytes = b"",
 ) -> bytes:
-    """A request as the platform's clients write it."""
+    """Return a request in the form that the platform's clients send."""
     method = "GET" if route == "load-item" else "POST"
     length = f"Content-Length: {len(body)}\r\n" if method == "POST" else ""
     head = f"{method} /{route} HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: {request_id}\r\n"
@@ -82,13 +84,17 @@
 
 
 def endpoint_list_response(revision: int, members: list[dict[str, Any]], complete: bool = False) -> bytes:
-    """An answer of discovery."""
+    """Return discovery's response with these entries."""
     body = json.dumps({"revision": revision, "complete": complete, "members": members}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """A message with a told length, or none: head and body. Raises IncompleteReadError at the end."""
+    """Read one message and return its head and body; without Content-Length the body is empty.
+
+    Raises:
+        IncompleteReadError: The connection ended before the message was complete.
+    """
     head = await reader.readuntil(b"\r\n\r\n")
     body_length = 0
     for line in head.lower().split(b"\r\n"):
@@ -103,7 +109,13 @@
 def fixed_response_server(
     response: bytes, delay: float = 0.0, received_requests: list[bytes] | None = None
 ) -> ConnectionHandler:
-    """A server that gives each request the same answer."""
+    """Return a server that sends the same response to every request.
+
+    Args:
+        response: The response.
+        delay: Seconds before each response, 0 by default.
+        received_requests: Each request is appended to this list, if given.
+    """
 
     async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -118,16 +130,17 @@
 
 
 class StubPlatform:
-    """Servers by port on `HOST`; ends with `close`."""
+    """Stub servers, discovery and release controller on `HOST`, until `close`."""
 
     def __init__(self) -> None:
         self.servers: list[asyncio.Server] = []
         self.members: list[dict[str, Any]] = []
         self.revision = 1
         self.changed = asyncio.Event()
-        self.answered_discovery_calls = 0  # calls of discovery that were answered
+        self.answered_discovery_calls = 0
         self.votes: list[str] = []
-        self.received: list[bytes] = []  # what came to servers that are given this list
+        # For `fixed_response_server`, which appends the requests that it receives.
+        self.received: list[bytes] = []
         self.vote_reply = b"OK 41 2 COMPLETE 1.0 9000\r\n"
         self.status_streams: list[asyncio.StreamWriter] = []
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -158,13 +171,13 @@
         self.members.append(endpoint_entry(f"s-{port}", await self.serve(port, handler), **fields))
 
     def publish_list(self) -> None:
-        """The list has changed."""
+        """Increase the revision of the list, and complete the calls that wait for a change."""
         self.revision += 1
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Waits for a change as long as it is asked to."""
+        """Send the complete list once its revision is newer, or no entries after the requested wait."""
         while True:
             head, _ = await read_message(reader)
             after, wait = re.findall(rb"after=(\d+)&wait_ms=(\d+) ", head)[0]
@@ -202,7 +215,7 @@
 
 
 class ProxyProcess:
-    """`run` as a process of its own, with a made configuration."""
+    """The proxy as a separate process, started by the `run` command of its deployment file."""
 
     def __init__(self, folder: Path, configuration: dict[str, Any]) -> None:
         self.path = folder / "config.json"
@@ -238,7 +251,11 @@
         return await asyncio.open_connection(host, int(port))
 
     async def request(self, data: bytes, timeout_seconds: float = 3.0) -> bytes:
-        """One request on a connection of its own, and its whole answer; b"" for a close without one."""
+        """Send one request on a new connection and return the response, b"" if it closed without one.
+
+        Raises:
+            TimeoutError: No complete response arrived within `timeout_seconds`.
+        """
         reader, writer = await self.connect()
         try:
             writer.write(data)
@@ -251,7 +268,7 @@
             writer.close()
 
     async def stop(self) -> bytes:
-        """SIGTERM, and what it logged."""
+        """Send SIGTERM, wait for the process to exit, and return its log."""
         if self.process.returncode is None:
             self.process.terminate()
         _, log_output = await asyncio.wait_for(self.process.communicate(), 10)
