--- a/gullmount/platform/instance.py
+++ b/gullmount/platform/instance.py
@@ -25,7 +25,7 @@
 FIRST_LIST_TIMEOUT_SECONDS = 6.2
 # Clients still connect until 0.4 s after SIGTERM.
 ACCEPT_AFTER_SIGTERM_SECONDS = 0.55
-# The drain deadline is the longest route timeout after SIGTERM, and at most this.
+# The drain deadline after SIGTERM is the longest route timeout, but no more than this.
 MAX_DRAIN_DEADLINE_SECONDS = 3.0
 # The time from the drain deadline to SIGKILL.
 KILL_MARGIN_SECONDS = 0.7
@@ -95,7 +95,7 @@
     def apply_starting_state(self) -> None:
         """Apply the endpoint list and the release status from the configuration file.
 
-        An invalid one is logged and the instance starts without it.
+        The first invalid one is logged, and the instance starts without it and without what follows it.
         """
         file = self.configuration.file
         try:
