--- a/tests/proxy/test_buffered_upstream.py
+++ b/tests/proxy/test_buffered_upstream.py
@@ -260,7 +260,9 @@
         lambda running_harness: running_harness.apply_endpoint_page(member(1, phase="draining")),
         lambda running_harness: running_harness.apply_endpoint_page(member(1, phase="gone")),
         lambda running_harness: running_harness.apply_endpoint_page(member(2), complete=True),
-        lambda running_harness: running_harness.apply_endpoint_page(member(1, up=1_700_000_000_000)),
+        lambda running_harness: running_harness.apply_endpoint_page(
+            member(1, started_at_ms=1_700_000_000_000)
+        ),
         lambda running_harness: running_harness.apply_endpoint_page(member(1, build=42)),
     ],
     ids=["drains", "gone", "not listed any more", "started anew", "another build"],
--- a/tests/proxy/test_listener_shutdown.py
+++ b/tests/proxy/test_listener_shutdown.py
@@ -19,12 +19,12 @@
 from tests.support.platform_world import (
     HOST,
     OK,
-    RUN,
+    RUN_COMMAND,
     ProxyProcess,
-    World,
+    StubPlatform,
     configuration,
+    fixed_response_server,
     read_message,
-    server_answering,
 )
 from tests.support.race_scenes import (
     WAIT_TIMEOUT_SECONDS,
@@ -250,14 +250,14 @@
 
 
 def run_with_process(
-    folder: Path, scenario: Callable[[World, ProxyProcess], Awaitable[None]], delay: float = 0.0
+    folder: Path, scenario: Callable[[StubPlatform, ProxyProcess], Awaitable[None]], delay: float = 0.0
 ) -> tuple[int, bytes]:
     """Run the scenario against a proxy process; return its exit code and log."""
 
     async def run_process() -> tuple[int, bytes]:
-        world = World()
+        world = StubPlatform()
         await world.serve_platform()
-        await world.add_server(8200, server_answering(OK, delay, world.received))
+        await world.add_server(8200, fixed_response_server(OK, delay, world.received))
         endpoint_page = {"revision": 1, "complete": True, "members": world.members}
         proxy_process = ProxyProcess(folder, configuration(known=endpoint_page))
         await proxy_process.start()
@@ -281,7 +281,7 @@
     The process exits with 0 and the request in flight is answered.
     """
 
-    async def scenario(world: World, proxy_process: ProxyProcess) -> None:
+    async def scenario(world: StubPlatform, proxy_process: ProxyProcess) -> None:
         pending_response = asyncio.create_task(proxy_process.request(request_bytes("a1")))
         async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
             while not world.received:
@@ -310,7 +310,7 @@
     async def run_process() -> tuple[int | None, bytes]:
         environment = {**os.environ, "PROXY_CONFIG": str(path)}
         process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", RUN, env=environment, stderr=asyncio.subprocess.PIPE
+            "/bin/sh", "-c", RUN_COMMAND, env=environment, stderr=asyncio.subprocess.PIPE
         )
         assert process.stderr is not None
         try:
@@ -364,7 +364,7 @@
     another client is still due.
     """
 
-    async def scenario(world: World, proxy_process: ProxyProcess) -> None:
+    async def scenario(world: StubPlatform, proxy_process: ProxyProcess) -> None:
         old_process, pending_response = (
             proxy_process.process,
             asyncio.create_task(proxy_process.request(request_bytes("a1"))),
--- a/tests/support/fuzzed_programs.py
+++ b/tests/support/fuzzed_programs.py
@@ -22,14 +22,14 @@
 from tests.support.fuzzed_messages import hostile_datagram, hostile_request, mutate, random_json
 from tests.support.platform_world import (
     HOST,
-    READY_WITHIN,
-    RUN,
+    READY_TIMEOUT_SECONDS,
+    RUN_COMMAND,
     SETTINGS,
-    World,
+    StubPlatform,
     configuration,
+    fixed_response_server,
     read_message,
     request_bytes,
-    server_answering,
 )
 from tests.support.proxy_edge import make_proxy_config
 
@@ -97,7 +97,7 @@
         return await exchange(self.address, self.probe_request, RESPONSE_TIMEOUT_SECONDS)
 
     async def wait_until_ready(self) -> None:
-        deadline = asyncio.get_running_loop().time() + READY_WITHIN
+        deadline = asyncio.get_running_loop().time() + READY_TIMEOUT_SECONDS
         while not (received := await self.send_probe()).startswith(b"HTTP/1.1 200"):
             assert self.exit_status is None, (self.name, self.log.read_text())
             assert asyncio.get_running_loop().time() < deadline, (self.name, received, self.log.read_text())
@@ -154,7 +154,7 @@
         self.block = reserve_loopback_block()
         self.hostile = False
         self.programs: list[Program] = []
-        self.world = World()
+        self.world = StubPlatform()
 
     def mutating(self, script: Script) -> Script:
         async def mutating_script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -199,8 +199,8 @@
 
     async def add_generic_proxy(self) -> None:
         own_host, peer_host = f"{self.block}.1.6", f"{self.block}.1.7"
-        valid_server = await self.world.serve(9201, server_answering(OK))
-        mutating_server = await self.world.serve(9202, self.mutating(server_answering(OK)))
+        valid_server = await self.world.serve(9201, fixed_response_server(OK))
+        mutating_server = await self.world.serve(9202, self.mutating(fixed_response_server(OK)))
         endpoints = [
             {"box": server_address, "zone": "a", "cell": 0, "build": 1, "state": "ready", "power": 1.0,
              "start": None, "age": None} for server_address in (valid_server, mutating_server)
@@ -229,10 +229,10 @@
 
     async def add_platform_proxy(self) -> None:
         peer_host = f"{self.block}.1.8"
-        await self.world.add_server(9101, server_answering(OK))
-        await self.world.add_server(9102, self.mutating(server_answering(OK)))
+        await self.world.add_server(9101, fixed_response_server(OK))
+        await self.world.add_server(9102, self.mutating(fixed_response_server(OK)))
         await self.world.serve(8101, self.mutating(self.world.discovery))
-        await self.world.serve(8102, self.mutating(self.world.control))
+        await self.world.serve(8102, self.mutating(self.world.release_controller))
         program_config = configuration(
             peers=[f"{HOST}:8103", f"{peer_host}:8103"], settings={**SETTINGS, "Siblings": 2},
             known={"revision": 1, "complete": True, "members": self.world.members},
@@ -242,7 +242,8 @@
         environment = {"PROXY_CONFIG": str(path), "PROXY_NAME": "n0"}
         self.programs.append(
             Program(
-                "run", f"{HOST}:8100", request_bytes("good", patience="2000"), ["/bin/sh", "-c", RUN],
+                "run", f"{HOST}:8100", request_bytes("good", timeout_ms="2000"),
+                ["/bin/sh", "-c", RUN_COMMAND],
                 self.folder / "run.log", (f"{HOST}:8103", f"{peer_host}:8103"), environment,
             )
         )  # fmt: skip
--- a/tests/support/platform_scene.py
+++ b/tests/support/platform_scene.py
@@ -1,4 +1,7 @@
-"""The platform's proxy instance in memory and virtual time, between surroundings that a test scripts."""
+"""Runs a proxy instance in memory and virtual time against discovery, release controller and servers.
+
+A test supplies the connection handlers of these services.
+"""
 
 from __future__ import annotations
 
@@ -14,33 +17,35 @@
 from gullmount.net import STREAM_ERRORS, MemoryNet, Stream
 from gullmount.platform.configuration import read_configuration
 from gullmount.platform.instance import PlatformInstance
-from tests.support.platform_world import HOST, OK, configuration, endpoint_entry, list_answer
+from tests.support.platform_world import HOST, OK, configuration, endpoint_entry, endpoint_list_response
 
-SERVER = f"{HOST}:8200"
-ServerAnswer = Callable[[Stream, bytes], Awaitable[None]]
-Script = Callable[[Stream], Awaitable[None]]
+SERVER_ADDRESS = f"{HOST}:8200"
+RequestHandler = Callable[[Stream, bytes], Awaitable[None]]
+ConnectionHandler = Callable[[Stream], Awaitable[None]]
 
 
-async def answer_ok(stream: Stream, data: bytes) -> None:
+async def respond_ok(stream: Stream, data: bytes) -> None:
     await stream.send(OK)
 
 
-async def never_answer(stream: Stream, data: bytes) -> None:
-    """Keeps the connection and says nothing."""
+async def never_respond(stream: Stream, data: bytes) -> None:
+    """Keep the connection open and send nothing."""
 
 
-async def quiet_discovery(stream: Stream) -> None:
-    """Discovery in which nothing changes: each call is answered when its wait is over."""
+async def idle_discovery(stream: Stream) -> None:
+    """Discovery without changes: responds to each call when its requested wait is over."""
     try:
         while True:
             wait = re.findall(rb"wait_ms=(\d+) ", await stream.receive())
             await anyio.sleep(int(wait[0]) / 1000)
-            await stream.send(list_answer(1, []))
+            await stream.send(endpoint_list_response(1, []))
     except STREAM_ERRORS:
         pass
 
 
-class Scene:
+class InMemoryProxy:
+    """A proxy instance, the events that it logged, and the number of connections to its server."""
+
     def __init__(self, net: MemoryNet, instance: PlatformInstance, log: list[str]) -> None:
         self.net, self.instance, self.log = net, instance, log
         self.connections = 0
@@ -56,20 +61,28 @@
             await stream.aclose()
 
 
-def play(
+def run_in_virtual_time(
     folder: Path,
-    answers: ServerAnswer,
-    act: Callable[[Scene], Awaitable[None]],
-    around: Mapping[int, Script] | None = None,
-    **changes: Any,
+    handle_request: RequestHandler,
+    scenario: Callable[[InMemoryProxy], Awaitable[None]],
+    services: Mapping[int, ConnectionHandler] | None = None,
+    **overrides: Any,
 ) -> None:
-    """`around` says who serves at which port of discovery's and the release controller's, else the former
-    knows of nothing new and the latter is silent."""
+    """Run `scenario` with a proxy instance that knows one server.
+
+    Args:
+        folder: Where the configuration file is written.
+        handle_request: Handles each request that reaches the server.
+        scenario: Called once the instance accepts clients.
+        services: Connection handlers by port; by default discovery (8101) reports no changes and the release
+            controller (8102) is silent.
+        **overrides: Top-level keys of the configuration file.
+    """
     path = folder / "config.json"
-    known = {"revision": 1, "complete": True, "members": [endpoint_entry("s-1", SERVER)]}
-    path.write_text(json.dumps(configuration(known=known, **changes)))
+    known = {"revision": 1, "complete": True, "members": [endpoint_entry("s-1", SERVER_ADDRESS)]}
+    path.write_text(json.dumps(configuration(known=known, **overrides)))
 
-    async def scene() -> None:
+    async def run_scenario() -> None:
         net, log = MemoryNet(), list[str]()
         async with anyio.create_task_group() as tasks:
             net.task_group = tasks
@@ -79,26 +92,31 @@
                 lambda event, **fields: log.append(event),
                 wall_clock=anyio.current_time,
             )
-            made = Scene(net, instance, log)
+            proxy = InMemoryProxy(net, instance, log)
 
-            async def server(stream: Stream) -> None:
-                made.connections += 1
+            async def handle_server_connection(stream: Stream) -> None:
+                proxy.connections += 1
                 try:
                     while True:
-                        await answers(stream, await stream.receive())
+                        await handle_request(stream, await stream.receive())
                 except STREAM_ERRORS:
                     pass
 
-            async def quiet(stream: Stream) -> None:
+            async def silent_service(stream: Stream) -> None:
                 await anyio.sleep_forever()
 
-            for port, script in {8200: server, 8101: quiet_discovery, 8102: quiet, **(around or {})}.items():
+            for port, handler in {
+                8200: handle_server_connection,
+                8101: idle_discovery,
+                8102: silent_service,
+                **(services or {}),
+            }.items():
                 started = anyio.Event()
-                tasks.start_soon(net.serve, f"{HOST}:{port}", script, started)
+                tasks.start_soon(net.serve, f"{HOST}:{port}", handler, started)
                 await started.wait()
             await instance.serve(tasks)
-            await act(made)
+            await scenario(proxy)
             tasks.cancel_scope.cancel()
 
     clock = trio.testing.MockClock(autojump_threshold=0)
-    anyio.run(scene, backend="trio", backend_options={"clock": clock})
+    anyio.run(run_scenario, backend="trio", backend_options={"clock": clock})
