--- a/gullmount/decisions/admission.py
+++ b/gullmount/decisions/admission.py
@@ -1,25 +1,28 @@
-"""Whether a deadline can still be met, the Retry-After of a rejection, and the reason that is logged."""
+"""Decides whether a deadline can still be met, and gives the Retry-After and the reason of a rejection."""
 
 from __future__ import annotations
 
 from gullmount.decisions.model import RejectionReason
 from gullmount.decisions.requests import Request
 
-MIN_TIME_LEFT_FACTOR = 0.6  # of the expected one that must be left: work for less is mostly wasted
-RETRY_AFTER_SECONDS = 0.25  # about what an overload of one latency objective needs to pass
+# Share of the expected latency that must be left until the deadline; with less, most work is wasted.
+MIN_TIME_LEFT_FACTOR = 0.6
+# About the time in which an overload of one latency objective passes.
+RETRY_AFTER_SECONDS = 0.25
 
 
 def deadline_can_be_met(request: Request, expected_latency: float, now: float) -> bool:
-    """Whether an attempt that begins now may end in time; `expected_latency` is in latency objectives.
+    """Whether an attempt that starts now can end before the deadline.
 
-    Clients that leave early, overloads and late requests would otherwise cost work that nobody waits for.
+    `expected_latency` is in latency objectives. Without this check, impatient clients, overloads and late
+    requests would cost work whose response nobody waits for.
     """
     objective = request.route.latency_objective
     return request.deadline - now > MIN_TIME_LEFT_FACTOR * expected_latency * objective
 
 
 def retry_after(max_retry_after: float) -> float:
-    """Return the seconds that a rejected client is asked to wait."""
+    """Return the seconds that a rejected client is asked to wait, at most `max_retry_after`."""
     return min(RETRY_AFTER_SECONDS, max_retry_after)
 
 
@@ -31,9 +34,10 @@
     max_attempts: int,
     budget_exhausted: bool,
 ) -> RejectionReason:
-    """Return why no attempt is made; for logs and counters alone.
+    """Return why no further attempt is made, for logs and counters only.
 
-    `endpoints_stale`: the endpoints are out of date; `deadline_reachable`: the deadline could still be met.
+    `endpoints_stale` says that the endpoint list is out of date, `deadline_reachable` that the deadline could
+    still be met.
     """
     if endpoints_stale:
         return RejectionReason.ENDPOINTS_STALE
--- a/gullmount/decisions/concurrency_limit.py
+++ b/gullmount/decisions/concurrency_limit.py
@@ -1,8 +1,9 @@
-"""The concurrency limit: how many attempts this instance may have in flight at the servers of each build.
+"""Limits how many attempts this instance may have in flight at the servers of each build.
 
-The limit adapts by additive increase and multiplicative decrease (AIMD): once more than `MAX_LATE_SHARE` of
-the answers come late each of these lowers it, answers in time raise it while it is in use. It is counted for
-each server, so that it follows the number of servers.
+- The limit adapts by additive increase and multiplicative decrease (AIMD).
+- A late response lowers it while more than `MAX_LATE_SHARE` of the recent responses are late.
+- A response in time raises it while the limit is in use.
+- It is kept per server, so that it follows the number of servers.
 """
 
 from __future__ import annotations
@@ -13,24 +14,32 @@
 from gullmount.decisions.model import Outcome
 from gullmount.decisions.releases import Releases
 
-INITIAL_ATTEMPTS_PER_SERVER = 4.0  # attempts a server; also the largest
-ADDITIVE_INCREASE = 0.03  # attempts a server, after each answer in time
-DECREASE_FACTOR = 0.8  # factor
-MIN_ATTEMPTS_PER_SERVER = 0.15  # attempts a server
-MIN_FLEET_ATTEMPTS_PER_SERVER = 1.2  # attempts a server, by all instances together
-
-MAX_LATE_SHARE = 0.08  # of the recent answers, above which the limit is lowered
-LATE_SHARE_WEIGHT = 0.05  # of the newest answer in that share
-LATE_LATENCY_OBJECTIVES = 0.7  # latency objectives from which on an answer is late
-
-DECREASE_INTERVAL_SECONDS = 0.25  # about the time in which a decrease shows in the answers
-MAX_COMBINED_DECREASES = 6.0  # by an instance that gets answers too seldom to decrease each time
+# Limit at the start, and the largest limit, in attempts per server.
+INITIAL_ATTEMPTS_PER_SERVER = 4.0
+# Attempts per server that a response in time adds.
+ADDITIVE_INCREASE = 0.03
+DECREASE_FACTOR = 0.8
+MIN_ATTEMPTS_PER_SERVER = 0.15
+# Least limit of all instances together, in attempts per server.
+MIN_FLEET_ATTEMPTS_PER_SERVER = 1.2
+
+# Share of late responses above which the limit is lowered.
+MAX_LATE_SHARE = 0.08
+# Weight of the newest response in the share of late responses.
+LATE_SHARE_WEIGHT = 0.05
+# A response that took longer than this many latency objectives is late.
+LATE_LATENCY_OBJECTIVES = 0.7
+
+# Least time between decreases, about the time after which a decrease shows in the responses.
+DECREASE_INTERVAL_SECONDS = 0.25
+# Decreases that are applied at once by an instance whose responses are too rare for one at each interval.
+MAX_COMBINED_DECREASES = 6.0
 
 RECORDED_OUTCOMES = (Outcome.COMPLETED, Outcome.TIMEOUT, Outcome.OVERLOADED)
 
 
 class ConcurrencyLimit:
-    """The limit for one build."""
+    """The concurrency limit of one build."""
 
     def __init__(self, min_attempts_per_server: float) -> None:
         self.min_attempts_per_server = min_attempts_per_server
@@ -43,7 +52,7 @@
         """Seconds on the runtime's clock."""
 
     def record(self, late: bool, servers: int, now: float) -> None:
-        """Take in one answer, when the build has so many ready servers."""
+        """Adapt the limit to one response, given the number of the build's ready servers."""
         self.late_share += LATE_SHARE_WEIGHT * (late - self.late_share)
         if late:
             if self.late_share > MAX_LATE_SHARE and now - self.decreased_at >= DECREASE_INTERVAL_SECONDS:
@@ -65,7 +74,7 @@
 
 
 class ConcurrencyLimits:
-    """The limits of all builds."""
+    """The concurrency limits of all builds."""
 
     def __init__(self, releases: Releases, instance_count: int) -> None:
         self.releases = releases
@@ -75,10 +84,10 @@
         )
 
     def has_capacity(self, build: int, servers: int) -> bool:
-        """Whether one more attempt may be sent to the build's ready servers; one at the build always is.
+        """Whether one more attempt may be sent to the build's ready servers.
 
-        A candidate gets no higher limit than any build that serves: only what is loaded alike can be
-        compared.
+        A build without an attempt in flight always has capacity. The limit of a candidate is no higher than
+        that of any build that serves, as only builds under equal load can be compared.
         """
         limit = self.by_build[build]
         attempts_per_server = limit.attempts_per_server
@@ -92,16 +101,21 @@
         return limit.in_flight < max(1.0, attempts_per_server * servers)
 
     def attempt_started(self, build: int) -> None:
-        """Count an attempt that is sent now."""
+        """Count an attempt that is sent to the build now."""
         self.by_build[build].in_flight += 1
 
     def attempt_ended(
         self, build: int, outcome: Outcome, latency: float, objective: float, servers: int, now: float
     ) -> None:
-        """Take in the end of an attempt.
-
-        `latency` and `objective`, the route's latency objective, are in seconds; `servers` are the build's
-        ready ones.
+        """Remove an attempt from those in flight and adapt the limit to its outcome.
+
+        Args:
+            build: The build that the attempt was sent to.
+            outcome: How the attempt ended.
+            latency: Seconds that the attempt took.
+            objective: The latency objective of the route, in seconds.
+            servers: Number of the build's ready servers.
+            now: The present time, in seconds.
         """
         limit = self.by_build[build]
         limit.in_flight -= 1
@@ -110,7 +124,7 @@
             limit.record(late, servers, now)
 
     def prune_builds(self, active_builds: Collection[int]) -> None:
-        """Drop the builds outside `active_builds` that no attempt is in flight at."""
+        """Drop the builds outside `active_builds` without attempts in flight."""
         for build in [build for build in self.by_build if build not in active_builds]:
             if not self.by_build[build].in_flight:
                 del self.by_build[build]
--- a/gullmount/decisions/endpoint_freshness.py
+++ b/gullmount/decisions/endpoint_freshness.py
@@ -1,17 +1,23 @@
-"""How old the endpoint list may be, and when discovery is asked next.
+"""Tracks how old the endpoint list may be and schedules the calls to discovery that renew it.
 
-A change counts as notified once discovery has written it, and at the latest 6 s after discovery had it,
-whether or not it arrived. So a list that was complete at some moment may be routed by for 6 s from then on
-and no longer, unless discovery provably could not be reached. `EndpointFreshness` holds that moment; every
-way in which a call can end moves it or leaves it.
+Age of the list:
 
-It also plans the calls, as these are what overloads discovery: it serves them one after the other, refuses
-one that waited for 2 s, and spends its time on refused ones too. A call that continues a watch takes no
-place in that queue. Hence every call is a watch, and one that is answered is continued at once; the first
-call of a watch asks to wait for longer than the queue lets it; calls that all instances would make together
-are spread; and the pause after each failed call doubles, with jitter.
+- A change counts as notified once discovery has written it, and at the latest 6 s after discovery had it,
+  whether or not it arrived here.
+- So a list that was complete at some moment may be used for routing for 6 s from that moment, and longer only
+  if discovery provably could not be reached.
+- `EndpointFreshness` keeps the end of that time; each result of a call moves it or leaves it as it is.
 
-All times are seconds of one monotonic clock.
+Schedule of the calls, which are what overloads discovery:
+
+- Discovery serves calls one after the other, refuses a call that waited for 2 s, and spends time on refused
+  calls too. A call that continues a watch takes no place in that queue.
+- So every call is a watch, and a call that succeeded is continued at once.
+- The first call of a watch asks for a wait that is longer than a call may stay in the queue.
+- Calls that all instances would make at the same time are spread.
+- The backoff after each failed call doubles, with jitter.
+
+All times are in seconds on one monotonic clock.
 """
 
 from __future__ import annotations
@@ -21,116 +27,123 @@
 from math import inf
 from random import Random
 
-NOTIFIED_AFTER_SECONDS = (
-    6.0  # a change counts as notified, whatever became of the call that would have brought it
-)
-NOTIFIED_AFTER_ADDRESS_CHANGE_SECONDS = (
-    4.0  # after a move to another address, whatever discovery has counts as notified
-)
-
-FIRST_CALL_WAIT_SECONDS = (
-    2.3  # asked for by the first call of a watch: longer than discovery's queue lets it wait
-)
-CONTINUED_CALL_WAIT_SECONDS = (
-    1.5,
-    3.0,
-)  # asked for by a later one, at random: few instances call again together
-CONTINUED_CALL_SILENCE_SLACK_SECONDS = (
-    0.4  # beyond the wait, after which a call that brought no byte is given up
-)
-FIRST_CALL_SILENCE_SLACK_SECONDS = 0.8  # likewise for the first call of a watch
-MIN_CALL_INTERVAL_SECONDS = 0.1  # from call to call; one within 0.2 s continues a watch
-RESPONSE_STALL_TIMEOUT_SECONDS = 1.0  # without a byte, after which an answer that has begun is given up
-MAX_RESPONSE_SECONDS = 15.0  # from an answer's first byte to its last
-
-START_SPREAD_SECONDS = 3.2  # over which instances that start together spread their first calls
-RESTART_SPREAD_SECONDS = 0.8  # over which instances whose watches ended together spread their next calls
-ADDRESS_CHANGE_SPREAD_SECONDS = (
-    1.5  # over which instances that moved together do: each asks for the complete list
-)
-
-REFUSED_BACKOFF_SECONDS = 6.0  # mean, before the call after a refused one; doubles with each that fails
-SINGLE_INSTANCE_REFUSED_BACKOFF_SECONDS = 1.5  # of the only instance of a fleet
-BROKEN_BACKOFF_SECONDS = (
-    0.5  # likewise after a call that broke off or fell silent: it took none of discovery's time
-)
-MAX_BACKOFF_SECONDS = 24.0  # mean, after refused, broken and silent calls
-UNREACHABLE_BACKOFF_SECONDS = 0.5  # mean, after a call that found no connection; doubles too
-MAX_UNREACHABLE_BACKOFF_SECONDS = 3.0  # each attempt proves anew that nothing can be notified
+# A change counts as notified after this time, whatever became of the call that would have delivered it.
+NOTIFIED_AFTER_SECONDS = 6.0
+# After discovery changes its address, everything that it has counts as notified after this time.
+NOTIFIED_AFTER_ADDRESS_CHANGE_SECONDS = 4.0
+
+# Wait that the first call of a watch asks for, longer than a call may stay in discovery's queue.
+FIRST_CALL_WAIT_SECONDS = 2.3
+# Bounds of the random wait of later calls; it differs so that few instances call again at the same time.
+CONTINUED_CALL_WAIT_SECONDS = (1.5, 3.0)
+# A later call that brought no byte is abandoned this long after its wait.
+CONTINUED_CALL_SILENCE_SLACK_SECONDS = 0.4
+# The first call of a watch that brought no byte is abandoned this long after its wait.
+FIRST_CALL_SILENCE_SLACK_SECONDS = 0.8
+# Least time between the starts of two calls. A call within 0.2 s of the last response continues its watch.
+MIN_CALL_INTERVAL_SECONDS = 0.1
+# A response that has begun is abandoned after this time without a byte.
+RESPONSE_STALL_TIMEOUT_SECONDS = 1.0
+# Longest time from the first byte of a response to its last.
+MAX_RESPONSE_SECONDS = 15.0
+
+# Time over which instances that start together spread their first calls.
+START_SPREAD_SECONDS = 3.2
+# Time over which instances whose watches ended together spread their next calls.
+RESTART_SPREAD_SECONDS = 0.8
+# Time over which instances spread their calls to a new address; each of these asks for the complete list.
+ADDRESS_CHANGE_SPREAD_SECONDS = 1.5
+
+# Mean backoff after a refused call in a large fleet; doubles with each failed call.
+REFUSED_BACKOFF_SECONDS = 6.0
+# Mean backoff after a refused call in a fleet of one instance.
+SINGLE_INSTANCE_REFUSED_BACKOFF_SECONDS = 1.5
+# Mean backoff after a broken or silent call, which took none of discovery's time.
+BROKEN_BACKOFF_SECONDS = 0.5
+# Limit of the mean backoff after refused, broken and silent calls.
+MAX_BACKOFF_SECONDS = 24.0
+# Mean backoff after a call without a connection; doubles with each failed call.
+UNREACHABLE_BACKOFF_SECONDS = 0.5
+# Limit of that backoff. It is short as each such call proves again that nothing can be notified.
+MAX_UNREACHABLE_BACKOFF_SECONDS = 3.0
 MAX_BACKOFF_DOUBLINGS = 10
-BACKOFF_JITTER_FACTORS = (0.5, 1.5)  # factors
+# Bounds of the random factor of each backoff.
+BACKOFF_JITTER_FACTORS = (0.5, 1.5)
 
 
 class EndpointListState(Enum):
-    """What the list in hand is worth."""
+    """How far the current endpoint list may be relied on."""
 
     FRESH = "fresh"
-    """A watch stands, or the last call was answered."""
+    """The last call succeeded, or its watch is still in progress."""
     SUSPECT = "suspect"
-    """A call failed since the list was known to be complete; it may still be routed by."""
+    """A call failed since the list was last known to be complete; it may still be used for routing."""
     STALE = "stale"
-    """A change may count as notified that did not arrive: nothing may be routed by the list."""
+    """A change that did not arrive may count as notified; the list may not be used for routing."""
 
 
 class CallFailure(Enum):
-    """How a call ended that brought no usable answer."""
+    """Why a call brought no usable response."""
 
     REFUSED = "refused"
-    """Discovery answered with a status other than 200."""
+    """Discovery responded with a status other than 200."""
     BROKEN = "broken"
-    """The connection ended, or what came cannot be decoded."""
+    """The connection closed early, or the response could not be decoded."""
     SILENT = "silent"
-    """Nothing came in time."""
+    """No byte arrived in time."""
     UNREACHABLE = "unreachable"
-    """No connection came up, so that discovery cannot have notified anything."""
+    """No connection was established, so discovery cannot have notified anything."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedCall:
-    """The next call of discovery."""
+    """The next call to discovery."""
 
     not_before: float
-    """Not before this moment."""
+    """Earliest start of the call, in seconds."""
     wait: float
-    """Seconds that discovery is asked to wait for a change."""
+    """Seconds for which discovery is asked to wait for a change."""
     silence_timeout: float
-    """Seconds without a byte after which the call is given up."""
+    """Seconds without a byte after which the call is abandoned."""
     continues_watch: bool
-    """Whether it continues a watch that was just answered."""
+    """Whether the call continues the watch of a call that just succeeded."""
 
 
 class EndpointFreshness:
-    """What one instance knows of its list's age, and its plan of calls."""
+    """The age of one instance's endpoint list and the schedule of its calls to discovery."""
 
     def __init__(self, instance_count: int, random: Random, now: float) -> None:
         self.random = random
         self.spread_factor = 1.0 - 1.0 / max(1, instance_count)
-        """0 for a single instance, which has nobody to keep apart from; near 1 for many."""
+        """Scales random spreads: 0 for a single instance, which needs none, and near 1 for a large fleet."""
         self.synced_at: float | None = None
-        """When the list was last known to be complete; None before the first answer."""
+        """When the list was last known to be complete; None before the first successful call."""
         self.stale_at = now + NOTIFIED_AFTER_SECONDS
-        """From when on the list may not be routed by."""
+        """From when on the list may not be used for routing."""
         self.consecutive_failures = 0
-        """Calls in a row that were refused, broke off or found nobody."""
+        """Failed calls in a row; a continued watch that breaks off or falls silent does not count."""
         self.suspect = True
-        """Whether the last call failed, or none was answered yet."""
+        """Whether the last call failed, or none has succeeded yet."""
         self.next_call = self._first_call(now + self._random_spread(START_SPREAD_SECONDS))
 
     def is_stale(self, now: float) -> bool:
-        """Whether nothing may be routed by the list."""
+        """Whether the list may not be used for routing."""
         return now >= self.stale_at
 
     def state(self, now: float) -> EndpointListState:
-        """Return what the list in hand is worth."""
+        """Return how far the current list may be relied on."""
         if self.is_stale(now):
             return EndpointListState.STALE
         return EndpointListState.SUSPECT if self.suspect else EndpointListState.FRESH
 
     def call_succeeded(self, began_at: float, now: float, response_started_at: float | None = None) -> None:
-        """Take note that the planned call, made at `began_at`, brought a usable answer.
+        """Renew the list's time and schedule the call that continues the watch.
 
-        `response_started_at` is the earliest time at which discovery can have begun to write it, where that
-        is not just now: the list is as old as its writing, not as its reading.
+        Args:
+            began_at: When the call was made, in seconds.
+            now: The present time, in seconds.
+            response_started_at: The earliest time at which discovery can have begun to write the response;
+                `now` where it is None. The list is as old as the writing of the response, not its reading.
         """
         self.synced_at = now if response_started_at is None else min(now, response_started_at)
         self.stale_at = self.synced_at + NOTIFIED_AFTER_SECONDS
@@ -143,14 +156,19 @@
         )
 
     def call_failed(self, failure: CallFailure, began_at: float, now: float) -> None:
-        """Take note that the planned call, made at `began_at`, brought nothing."""
+        """Schedule the call after one that was made at `began_at` and failed.
+
+        An unreachable discovery extends the list's time, as it cannot have notified any change. Any other
+        failure before the first successful call ends that time at once.
+        """
         self.suspect = True
         if failure is CallFailure.UNREACHABLE:
             self.stale_at = max(self.stale_at, began_at + NOTIFIED_AFTER_SECONDS)
             self._schedule_after_failure(now, UNREACHABLE_BACKOFF_SECONDS, MAX_UNREACHABLE_BACKOFF_SECONDS)
             return
         if self.synced_at is None:
-            self.stale_at = min(self.stale_at, now)  # the list in hand may be of any age
+            # Without a successful call the list may be of any age.
+            self.stale_at = min(self.stale_at, now)
         if failure is CallFailure.REFUSED:
             self._schedule_after_failure(now, self._refused_backoff(), MAX_BACKOFF_SECONDS)
         elif self.next_call.continues_watch:
@@ -159,7 +177,7 @@
             self._schedule_after_failure(now, BROKEN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
 
     def discovery_address_changed(self, now: float) -> None:
-        """Take note that discovery is at another address from now on."""
+        """Shorten the list's time and schedule the first call to discovery's new address."""
         self.stale_at = min(self.stale_at, now + NOTIFIED_AFTER_ADDRESS_CHANGE_SECONDS)
         self.consecutive_failures = 0
         self.suspect = True
@@ -186,9 +204,10 @@
 
 
 def response_deadline(call: PlannedCall, began_at: float, last_byte_at: float, first_byte_at: float) -> float:
-    """Return until when the rest of an answer is waited for; one that flows is not given up.
+    """Return the time at which a call is abandoned unless more of its response arrives before.
 
-    `last_byte_at` is -inf as long as none came.
+    A response that makes progress is awaited for `MAX_RESPONSE_SECONDS`. `last_byte_at` is -inf before the
+    first byte.
     """
     if last_byte_at == -inf:
         return began_at + call.silence_timeout
--- a/gullmount/decisions/latency.py
+++ b/gullmount/decisions/latency.py
@@ -1,7 +1,7 @@
-"""Latency estimates (EWMA) of servers, of zones and of all attempts of this instance.
+"""Estimates the latency of servers, of zones and of all attempts of this instance (EWMA).
 
-Times are in latency objectives of the attempt's route, so that routes can be mixed. An estimate fades to
-what is expected otherwise while nothing is heard, so that a server that was slow once is tried again.
+Latencies are in latency objectives of the attempt's route, so that routes can be mixed. Without new outcomes
+an estimate decays to a prior, so that a server that was slow is used again.
 """
 
 from __future__ import annotations
@@ -12,28 +12,32 @@
 from gullmount.decisions.latency_estimate import LatencyEstimate
 from gullmount.decisions.model import FAILURE_OUTCOMES, NO_RESPONSE_OUTCOMES, Outcome
 
-INITIAL_LATENCY_OBJECTIVES = 0.15  # latency objectives, before any outcome
-INSTANCE_WEIGHT = 0.05  # of the newest outcome in the estimate over all attempts
-SERVER_WEIGHT = 0.2  # of the newest outcome in a server's or zone's estimate
+# Expected latency before the first outcome.
+INITIAL_LATENCY_OBJECTIVES = 0.15
+# Weight of the newest outcome in the estimate over all attempts.
+INSTANCE_WEIGHT = 0.05
+# Weight of the newest outcome in the estimate of a server or zone.
+SERVER_WEIGHT = 0.2
 INSTANCE_HALF_LIFE_SECONDS = 10.0
 ZONE_HALF_LIFE_SECONDS = 10.0
 SERVER_HALF_LIFE_SECONDS = 3.0
-UNKNOWN_SERVER_FACTOR = 0.7  # times its zone's estimate; below 1, so that unknown servers are tried
+# Prior of a server as a share of its zone's estimate. It is below 1 so that unknown servers are used.
+UNKNOWN_SERVER_FACTOR = 0.7
 
 
 class LatencyEstimates:
-    """The estimates of all servers, their zones and the instance."""
+    """The latency estimates of the instance and of the zones; those of servers are kept at each server."""
 
     def __init__(self) -> None:
         self.instance = LatencyEstimate()
         self.by_zone: dict[str, LatencyEstimate] = defaultdict(LatencyEstimate)
 
     def expected(self, now: float) -> float:
-        """Return the expected time of an attempt anywhere, in latency objectives."""
+        """Return the expected latency of an attempt at any server, in latency objectives."""
         return self.instance.expected(INITIAL_LATENCY_OBJECTIVES, INSTANCE_HALF_LIFE_SECONDS, now)
 
     def expected_by_zone(self, now: float) -> dict[str, float]:
-        """Return the expected time in each zone that an attempt was made in, in latency objectives."""
+        """Return the expected latency of each zone with attempts so far, in latency objectives."""
         overall = self.expected(now)
         return {
             zone: estimate.expected(overall, ZONE_HALF_LIFE_SECONDS, now)
@@ -41,13 +45,13 @@
         }
 
     def expected_in_zone(self, zone: str, now: float) -> float:
-        """Return the expected time of an attempt in the zone, in latency objectives."""
+        """Return the expected latency of an attempt in the zone, in latency objectives."""
         return self.by_zone[zone].expected(self.expected(now), ZONE_HALF_LIFE_SECONDS, now)
 
     def record(self, server: Server, outcome: Outcome, latency: float, now: float) -> None:
-        """Take in an attempt that ended after `latency` latency objectives.
+        """Update the estimates with an attempt that ended after `latency` latency objectives.
 
-        A failure counts as a whole objective at least: a server that fails fast must not look idle.
+        A failure counts as one objective at least, so that a server that fails fast does not seem idle.
         """
         if outcome in FAILURE_OUTCOMES:
             latency = max(1.0, latency)
--- a/gullmount/decisions/outlier_ejection.py
+++ b/gullmount/decisions/outlier_ejection.py
@@ -1,10 +1,11 @@
-"""Outlier ejection: when a server is taken out of rotation and when it comes back.
-
-A server that fails `CONSECUTIVE_FAILURES_TO_EJECT` times in a row is ejected, for twice as long as the last
-time as long as it has not completed a request since. Overloaded, expired and cancelled attempts neither count
-nor break the row. It comes back by itself when that time is over; then one attempt at a time may try it,
-until one completes, and one failure is enough to eject it again. Where all servers are ejected, load
-balancing uses the best of them.
+"""Takes failing servers out of rotation and decides when they come back (outlier ejection).
+
+- A server is ejected after `CONSECUTIVE_FAILURES_TO_EJECT` failures in a row. Overloaded, expired and
+  cancelled attempts neither count as failures nor interrupt the row.
+- Each ejection lasts twice as long as the one before, until the server completes a request.
+- When the ejection ends, the server gets one attempt at a time until one completes; a single failure ejects
+  it again.
+- If all servers are ejected, load balancing uses the best of them.
 """
 
 from __future__ import annotations
@@ -16,14 +17,12 @@
 CONSECUTIVE_FAILURES_TO_EJECT = 2
 INITIAL_EJECTION_SECONDS = 1.0
 MAX_EJECTION_SECONDS = 8.0
-EJECTION_JITTER_FACTORS = (
-    0.75,
-    1.25,
-)  # factors between which the ejection is drawn, so that instances do not return in step
+# Bounds of the random factor of each ejection, so that instances do not use the server again in step.
+EJECTION_JITTER_FACTORS = (0.75, 1.25)
 
 
 class EjectionState:
-    """What outlier ejection keeps of one server."""
+    """The state of outlier ejection for one server."""
 
     __slots__ = ("consecutive_failures", "ejected_until", "ejection_seconds")
 
@@ -32,10 +31,10 @@
         self.ejected_until = 0.0
         """Seconds on the runtime's clock."""
         self.ejection_seconds = 0.0
-        """Length of the last ejection, 0 since the last completed request."""
+        """Length of the last ejection; 0 if a request has completed since."""
 
     def record(self, outcome: Outcome, now: float, draw: Callable[[], float]) -> None:
-        """Take in how an attempt ended; `draw` returns a random number from 0 to 1."""
+        """Update the state with the outcome of an attempt; `draw` returns a random number from 0 to 1."""
         if outcome in FAILURE_OUTCOMES:
             self.consecutive_failures += 1
             if self.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT and self.ejected_until <= now:
@@ -46,7 +45,7 @@
             self.ejection_seconds = 0.0
 
     def is_ejected(self, attempts_in_flight: int, now: float) -> bool:
-        """Whether the server should get no attempt now."""
+        """Whether the server should get no attempt now, with so many attempts in flight there."""
         if self.ejected_until > now:
             return True
         return self.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT and attempts_in_flight > 0
--- a/gullmount/decisions/sliding_window.py
+++ b/gullmount/decisions/sliding_window.py
@@ -1,4 +1,4 @@
-"""Times of events within a window that moves with the clock."""
+"""Operations on ascending queues of event times, for sliding windows."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def insert_in_order(times: deque[float], at: float) -> None:
-    """Insert a time into an ascending queue of seconds; most belong at its end."""
+    """Insert a time into an ascending queue of seconds, searching from the end, where most belong."""
     index = len(times)
     while index and times[index - 1] > at:
         index -= 1
--- a/gullmount/decisions/slow_start.py
+++ b/gullmount/decisions/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: how much of its capacity a warming server has, and what this instance may send it.
+"""Limits the attempts that a warming server gets from this instance (slow start).
 
-Inputs are the server's start, the settings' cold capacity, warm-up time and overload multiple, and the rate
-of answers that this instance gets.
+Inputs are the start time of the server, the settings' cold capacity, warm-up time and overload multiple, and
+the rate at which attempts of this instance complete.
 """
 
 from __future__ import annotations
@@ -11,12 +11,14 @@
 from gullmount.decisions.model import InstanceSettings
 from gullmount.decisions.sliding_window import drop_before
 
-MAX_RATE_WINDOW_SECONDS = 5.0  # over which the rate of answers is taken
+# Window over which the rate of completed attempts is measured.
+MAX_RATE_WINDOW_SECONDS = 5.0
+# Shortest window, used soon after the start of the instance.
 MIN_RATE_WINDOW_SECONDS = 1.0
 
 
 class SlowStartCredit:
-    """Attempts that a warming server has earned, at most one."""
+    """Attempts that a warming server may get now, at most one."""
 
     __slots__ = ("attempts", "updated_at")
 
@@ -27,7 +29,7 @@
 
 
 class SlowStart:
-    """The slow start of all servers, seen from one instance."""
+    """Slow start of all servers, as one instance applies it."""
 
     def __init__(self, settings: InstanceSettings, now: float) -> None:
         self.cold_capacity = settings.cold_capacity
@@ -35,10 +37,10 @@
         self.overload_multiple = settings.overload_multiple
         self.created_at = now
         self.completed_at: deque[float] = deque()
-        """Seconds on the runtime's clock, within the rate window."""
+        """Times of completed attempts within the rate window, in seconds on the runtime's clock."""
 
     def weight(self, started_at: float, now: float) -> float:
-        """Return the least share of its capacity that a server started then can have, up to 1."""
+        """Return the least share of its capacity, up to 1, that a server started at `started_at` can have."""
         age = now - started_at
         if age >= self.warm_up_time:
             return 1.0
@@ -46,16 +48,17 @@
         return min(1.0, cold + (1 - cold) * max(0.0, age) / self.warm_up_time)
 
     def record_completion(self, now: float) -> None:
-        """Take note that an attempt completed anywhere."""
+        """Count an attempt that completed at any server."""
         self.completed_at.append(now)
         drop_before(self.completed_at, now - MAX_RATE_WINDOW_SECONDS)
 
     def allows(self, credit: SlowStartCredit, started_at: float, ready_servers: int, now: float) -> bool:
-        """Whether the server may get an attempt: it is warm, or has earned one.
+        """Whether the server may get an attempt: it is warm, or its credit has grown to one attempt.
 
-        Credit grows at the rate of this instance's answers for each ready server, times the server's weight
-        and half the overload multiple. Every instance does so by its own traffic, so that the sum stays
-        below the multiple. Answers are counted, not requests: in an overload clients send theirs again.
+        Credit grows at this instance's rate of completed attempts per ready server, times the server's weight
+        and half the overload multiple. As every instance uses its own rate, the sum over all instances stays
+        below the multiple. Completed attempts are counted, not requests, as clients repeat requests in an
+        overload.
         """
         weight = self.weight(started_at, now)
         if weight >= 1:
