--- a/gullmount/decisions/__init__.py
+++ b/gullmount/decisions/__init__.py
@@ -1,7 +1,8 @@
-"""All decisions on requests, servers and releases, without I/O and without a clock of their own.
+"""Decides on requests, servers and releases, without I/O and without reading a clock.
 
-`Router` is the way in; `model` holds the values that it shares with the program around it, `runtime` what
-it asks of that. Each other module holds one rule with its constants and state.
+`Router` is the entry point. `model` defines the values that it shares with the surrounding program,
+and `runtime` the operations that it calls there. Each other module implements one rule with its constants
+and state.
 """
 
 from __future__ import annotations
--- a/gullmount/decisions/affinity.py
+++ b/gullmount/decisions/affinity.py
@@ -1,8 +1,8 @@
-"""Affinity: which build a key met last and where its attempts are now.
+"""Tracks which build last served a key and at which builds its attempts are in flight (affinity).
 
-With `one_way` a key that a newer build may have answered never goes to an older one, and all attempts of a
-key in flight are at one build, as they may be answered in any order. Without it a key stays with a
-candidate that answered it as long as that is one.
+- With `one_way`, a key that a newer build may have served never goes to an older build.
+- With `one_way`, all attempts of a key in flight are at one build, as responses may arrive in any order.
+- Without `one_way`, a key stays with a candidate that served it for as long as that build is a candidate.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 
 class Affinity:
-    """What is remembered of keys, by their hash position."""
+    """The builds of keys, which are identified by their hash positions."""
 
     def __init__(self, releases: Releases) -> None:
         self.releases = releases
         self.one_way = releases.settings.one_way
         self.last_build_by_key: dict[float, int] = {}
-        """The newest build that answered the key."""
+        """The newest build that served the key."""
         self.in_flight_builds_by_key: dict[float, dict[Attempt, int]] = {}
-        """The build of each attempt in flight that binds its key; kept with `one_way` only."""
+        """The build of each attempt in flight that pins its key; filled with `one_way` only."""
 
     def last_build(self, request: Request) -> int:
-        """Return the newest build that the key met or has an attempt at, NO_BUILD if none is known."""
+        """Return the newest build that served the key or has an attempt of it in flight, else NO_BUILD."""
         if request.key is None:
             return NO_BUILD
         position = request.hash_position
@@ -58,15 +58,15 @@
         return any(other < build for other in self._in_flight_builds(request.hash_position))
 
     def attempt_started(self, request: Request, attempt: Attempt) -> None:
-        """Take note of an attempt that is sent now."""
+        """Record an attempt that is sent now."""
         if self.one_way and request.key is not None:
             self.in_flight_builds_by_key.setdefault(request.hash_position, {})[attempt] = attempt.build
 
     def attempt_ended(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
-        """Take note of an attempt's end, and remember the build if it counts as met.
+        """Record the end of an attempt, and the build if it counts as having served the key.
 
-        With `one_way` an attempt that may have been answered counts, heard or not: the answer may be lost
-        or on its way. So does the build that the server is listed with by now, if that is newer.
+        With `one_way`, any attempt that the build may have answered counts, as its response may be lost or
+        still on its way. The build that the server is listed with by now counts instead if it is newer.
         """
         if request.key is None:
             return
@@ -78,16 +78,15 @@
         if self.one_way:
             build = max(build, attempt.server.build)
             served = outcome is not Outcome.ERROR and outcome not in NOT_EXECUTED_OUTCOMES
-            served = served and (
-                was_pinned or build != attempt.build
-            )  # else rolled back since: the key is free
+            # An attempt that is no longer pinned was at a build that has been rolled back since.
+            served = served and (was_pinned or build != attempt.build)
             newer_than_named = build > self.releases.newest.build
             tracked = tracked or ReleasePhase.RELEASED in phases or newer_than_named
         if served and tracked:
             self._record_build(request.hash_position, build)
 
     def remove_build(self, build: int) -> None:
-        """Free the keys of a build that is rolled back."""
+        """Release the keys of a build that is rolled back."""
         self.last_build_by_key = {
             position: last for position, last in self.last_build_by_key.items() if last != build
         }
@@ -99,7 +98,7 @@
                 del self.in_flight_builds_by_key[position]
 
     def prune_builds(self, active_builds: Collection[int]) -> None:
-        """Drop the builds outside `active_builds`, unless keys may never go back."""
+        """Drop the builds outside `active_builds`; with `one_way` all are kept."""
         if not self.one_way:
             self.last_build_by_key = {
                 position: last for position, last in self.last_build_by_key.items() if last in active_builds
@@ -109,7 +108,7 @@
         return self.in_flight_builds_by_key.get(position, {}).values()
 
     def _remove_in_flight(self, position: float, attempt: Attempt) -> bool:
-        """Return whether the attempt still bound its key; one at a build that was rolled back does not."""
+        """Remove the attempt; return whether it still pinned its key, which a rollback of its build ends."""
         builds = self.in_flight_builds_by_key.get(position, {})
         was_pinned = builds.pop(attempt, None) is not None
         if not builds:
@@ -117,10 +116,11 @@
         return was_pinned
 
     def _record_build(self, position: float, build: int) -> None:
-        """Remember the build; memory is bounded by remembering ranges of keys in place of single ones.
+        """Record the build of a key, with bounded memory.
 
-        Beyond the bound all keys within a candidate's widest share count as having met it, which is true of
-        most; with `one_way` some that never met it are then rejected once its exposure limit is reached.
+        Beyond `MAX_TRACKED_KEYS`, ranges of keys replace single keys: all keys within a candidate's widest
+        share count as served by it, which is true of most. With `one_way`, some keys that it never served are
+        then rejected once its exposure limit is reached.
         """
         self.last_build_by_key[position] = max(build, self.last_build_by_key.get(position, NO_BUILD))
         if len(self.last_build_by_key) <= MAX_TRACKED_KEYS:
--- a/gullmount/decisions/endpoints.py
+++ b/gullmount/decisions/endpoints.py
@@ -1,4 +1,4 @@
-"""The servers by build, kept up to date by what discovery sends."""
+"""Keeps the table of servers by build, which endpoint updates from discovery change."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 class Server:
-    """One listed server with what each rule keeps of it; lives as long as it is listed."""
+    """A listed server with the state that each rule keeps for it."""
 
     def __init__(self, endpoint: Endpoint, initial_credit: float, now: float) -> None:
         self.id = endpoint.server_id
         self.initial_credit = initial_credit
-        """Of slow start, below one attempt; it differs between instances, so that they don't act in step."""
+        """Slow start credit of a new process, below one; random, so that instances do not act in step."""
         self.attempts_in_flight = 0
-        """Attempts of this instance."""
+        """Number of attempts of this instance at the server."""
         self._reset_process_state(now)
         self._copy_endpoint(endpoint)
 
     def update(self, endpoint: Endpoint, now: float) -> None:
-        """Take over a new entry; another build or start is another process, of which nothing is known."""
+        """Apply a new entry; one with another build or start time is a new process and resets the state."""
         if endpoint.build != self.build or endpoint.started_at != self.started_at:
             self._reset_process_state(now)
         self._copy_endpoint(endpoint)
 
     def age(self, now: float) -> float:
-        """Return the seconds since the start; the whole time of the clock where it is not known."""
+        """Return the seconds since the start, or since the clock's zero if the start is not known."""
         return now - self.started_at if self.started_at > 0 else now
 
     def _reset_process_state(self, now: float) -> None:
@@ -37,7 +37,7 @@
         self.ejection = EjectionState()
         self.slow_start = SlowStartCredit(self.initial_credit, now)
         self.connected_until = 0.0
-        """Seconds on the runtime's clock until which a connection is thought to be open."""
+        """Seconds on the runtime's clock until which a connection is believed to be open."""
 
     def _copy_endpoint(self, endpoint: Endpoint) -> None:
         self.zone = endpoint.zone
@@ -57,14 +57,14 @@
         """Returns a random number from 0 to 1."""
         self.servers: dict[str, Server] = {}
         self.ready_by_build: dict[int, list[Server]] = {}
-        """No list is empty."""
+        """Ready servers by build; a build without ready servers has no entry."""
         self.ready_count = 0
-        """Ready servers of all builds."""
+        """Number of ready servers of all builds."""
         self.warming: list[Server] = []
-        """Ready servers that were in slow start when last looked at."""
+        """Ready servers that were in slow start at the last check."""
 
     def update(self, kind: EndpointUpdateKind, endpoints: Iterable[Endpoint], now: float) -> None:
-        """Apply a snapshot, or the entries that changed."""
+        """Apply a snapshot, or an update of changed entries."""
         if kind is EndpointUpdateKind.SNAPSHOT:
             self._remove_unlisted({endpoint.server_id for endpoint in endpoints})
         for endpoint in endpoints:
@@ -72,7 +72,7 @@
         self._rebuild_index(now)
 
     def prune_warming(self, now: float) -> None:
-        """Forget as warming the servers that have all of their capacity by now, or are not ready any more."""
+        """Remove servers from `warming` that have their full capacity by now or are not ready any more."""
         self.warming = [
             server
             for server in self.warming
--- a/gullmount/decisions/exposure.py
+++ b/gullmount/decisions/exposure.py
@@ -1,8 +1,9 @@
-"""The exposure limit: how many attempts may go to a candidate.
+"""Limits how many attempts may go to a candidate (exposure limit).
 
-Within any exposure window the attempts sent to a candidate stay within the limit of its stage times the
-requests accepted, plus the slack. Both are counted by this instance, for each route where the settings say
-so. A limit that falls binds at once, and what was sent before goes on counting.
+- Within any exposure window, the attempts sent to a candidate stay within the limit of its stage times the
+  accepted requests, plus the slack.
+- This instance counts its own attempts and requests, for each route separately if the settings say so.
+- A limit that is lowered applies at once, and attempts sent before continue to count.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class ExposureWindow:
-    """Requests accepted and attempts sent within the window, in seconds on the runtime's clock."""
+    """Times of accepted requests and sent attempts within the window, in seconds on the runtime's clock."""
 
     def __init__(self) -> None:
         self.request_times: deque[float] = deque()
@@ -25,17 +26,17 @@
         """By build."""
 
     def record_request(self, arrived_at: float, window_start: float) -> None:
-        """Count a request; what lies before `window_start` is dropped."""
+        """Count a request and drop those before `window_start`."""
         insert_in_order(self.request_times, arrived_at)
         drop_before(self.request_times, window_start)
 
     def record_attempt(self, build: int, now: float, window_start: float) -> None:
-        """Count an attempt at a server of the build; what lies before `window_start` is dropped."""
+        """Count an attempt at a server of the build and drop those before `window_start`."""
         self.attempt_times_by_build[build].append(now)
         drop_before(self.attempt_times_by_build[build], window_start)
 
     def update_attempt_time(self, build: int, counted_at: float, now: float) -> None:
-        """Count an attempt as of now in place of an earlier time."""
+        """Count an attempt at `now` instead of `counted_at`."""
         attempts = self.attempt_times_by_build[build]
         index = len(attempts) - 1
         while index >= 0 and attempts[index] > counted_at:
@@ -45,9 +46,9 @@
         attempts.append(now)
 
     def counts(self, build: int, window_start: float) -> tuple[int, int]:
-        """Return the attempts at the build and the requests since then.
+        """Return the numbers of attempts at the build and of requests since `window_start`.
 
-        An attempt of just that moment still counts and a request does not, which is the stricter reading.
+        An attempt exactly at `window_start` counts and a request does not, which is the stricter choice.
         """
         attempts = self.attempt_times_by_build[build]
         drop_before(self.request_times, nextafter(window_start, inf))
@@ -56,21 +57,21 @@
 
 
 class ExposureLimiter:
-    """Keeps the exposure limit for this instance alone."""
+    """Applies the exposure limit to the traffic of this instance."""
 
     def __init__(self, settings: InstanceSettings, now: float) -> None:
         self.release_settings = settings.release
         self.restarted = settings.restarted
         self.created_at = now
         self.windows: dict[str, ExposureWindow] = defaultdict(ExposureWindow)
-        """By route, or one under the empty name."""
+        """By route name, or a single window under the empty name."""
 
     def window(self, route: Route) -> ExposureWindow:
-        """Return the window that the route's requests are counted in."""
+        """Return the window in which the route's requests are counted."""
         return self.windows[route.name if self.release_settings.counted_by_route else ""]
 
     def record_request(self, route: Route, arrived_at: float) -> None:
-        """Count a request as of its arrival: one that was read late leaves the window no later for that."""
+        """Count a request at its arrival, so that one that was read late leaves the window no later."""
         self.window(route).record_request(arrived_at, arrived_at - self.release_settings.exposure_window)
 
     def record_attempt(self, route: Route, build: int, now: float) -> None:
@@ -78,18 +79,18 @@
         self.window(route).record_attempt(build, now, now - self.release_settings.exposure_window)
 
     def update_attempt_time(self, route: Route, build: int, counted_at: float, now: float) -> None:
-        """Count an attempt as of now that waited since `counted_at` until it was sent."""
+        """Count an attempt at `now` that was counted at `counted_at` and waited until now to be sent."""
         if now > counted_at:
             self.window(route).update_attempt_time(build, counted_at, now)
 
     def allows(
         self, route: Route, build: int, candidate: Candidate, now: float, additional_attempts: int
     ) -> bool:
-        """Whether the candidate's servers of the build may get so many attempts more.
+        """Whether the candidate's servers of the build may get this many additional attempts.
 
-        A build that is newer than the candidate is one that no release status has named yet: it gets the
-        first stage's limit. After a restart nothing is sent for a window: an earlier process may have used
-        it up.
+        A build newer than the candidate has not been named by a release status yet and gets the limit of the
+        first stage. After a restart nothing is sent for one window, as an earlier process may have used up
+        the limit.
         """
         if self.restarted and now - self.created_at < self.release_settings.exposure_window:
             return False
@@ -108,7 +109,7 @@
         return attempts + additional_attempts <= self.release_settings.exposure_slack + limit * requests
 
     def prune_builds(self, active_builds: Collection[int], now: float) -> None:
-        """Drop the builds outside `active_builds` of which no attempt counts any more."""
+        """Drop the builds outside `active_builds` without an attempt in the window."""
         window_start = now - self.release_settings.exposure_window
         for window in self.windows.values():
             for build in [build for build in window.attempt_times_by_build if build not in active_builds]:
--- a/gullmount/decisions/load_balancing.py
+++ b/gullmount/decisions/load_balancing.py
@@ -1,10 +1,11 @@
-"""Load balancing: which of the allowed servers gets an attempt.
-
-Among the servers of the build that the key belongs to, the one with the shortest expected wait is taken.
-Each instance of a small fleet ranks all servers; in a large fleet each draws a few at random and ranks
-these, as its own attempts tell little of the servers' load. Where none of them will do, all servers that
-may take the request are ranked, or a bounded sample of them: the cost of a request must not grow with the
-fleet.
+"""Chooses the server for an attempt among the allowed servers (load balancing).
+
+- Among the servers of the build that the key belongs to, the one with the shortest expected wait is chosen.
+- In a small fleet of instances, each ranks all servers.
+- In a large fleet, each draws a few servers at random and ranks these, as its own attempts tell little about
+  the load of the servers.
+- If none of the drawn servers is eligible, all servers that may take the request are ranked, or a bounded
+  sample of them: the cost of a request must not grow with the number of servers.
 """
 
 from __future__ import annotations
@@ -26,18 +27,23 @@
 from gullmount.decisions.requests import Request
 from gullmount.decisions.slow_start import SlowStart
 
-MIN_DRAWN_SERVERS = 3  # servers drawn
+MIN_DRAWN_SERVERS = 3
 MAX_DRAWN_SERVERS = 64
-MAX_INSTANCES_RANKING_ALL = 8.0  # up to so many instances each ranks all servers
-MAX_SAMPLED_SERVERS = 256  # servers looked at where none of those drawn will do
+# Number of instances up to which each instance ranks all servers.
+MAX_INSTANCES_RANKING_ALL = 8.0
+# Largest number of servers that are ranked if no drawn server is eligible.
+MAX_SAMPLED_SERVERS = 256
 
-CROSS_ZONE_FACTOR = 1.3  # times the wait of a server in another zone
-WAIT_JITTER = 0.1  # of a wait, at random, so that instances that know the same don't choose alike
-SLOW_ZONE_RATIO = 2.0  # times the quickest zone's latency, above which a zone's servers are not drawn
+# Factor of the expected wait of a server in another zone.
+CROSS_ZONE_FACTOR = 1.3
+# Largest random addition to a wait, as a share of it; instances with equal estimates then pick differently.
+WAIT_JITTER = 0.1
+# Servers of a zone are not drawn if its latency exceeds this multiple of the fastest zone's.
+SLOW_ZONE_RATIO = 2.0
 
 
 class AllowedBuilds(dict[int, bool]):
-    """Whether a request may go to a build, asked once for each build during one choice."""
+    """Whether a request may go to a build; evaluated once for each build during one pick."""
 
     def __init__(self, is_allowed: Callable[[int], bool]) -> None:
         super().__init__()
@@ -49,12 +55,12 @@
 
 
 EligibilityCheck = Callable[[Request, Server, float, AllowedBuilds], bool]
-"""Whether a request may go to a server now."""
+"""Returns whether a request may go to a server now."""
 
 
 @dataclass(slots=True)
 class PickContext:
-    """One choice of a server: the request, where its key belongs, and what holds while it is made."""
+    """Inputs of one pick: the request, the candidate of its key, and state that is fixed during the pick."""
 
     request: Request
     candidate: Candidate | None
@@ -62,15 +68,15 @@
     is_eligible: EligibilityCheck
     builds_with_capacity: set[int]
     unfinished_releases: dict[int, Candidate | None]
-    """By build with ready servers: the unfinished release that it belongs to, None where it serves."""
+    """The unfinished release of each build with ready servers; None for a build that serves."""
     zone_latencies: dict[str, float]
-    """Expected latency by zone, in latency objectives."""
+    """Expected latency of each zone, in latency objectives."""
     attempted_server_ids: set[str]
-    """Ids of the servers that had an attempt of this request."""
+    """Ids of servers that have had an attempt of the request."""
     allowed_builds: AllowedBuilds
 
     def eligible(self, servers: Iterable[Server]) -> Iterator[Server]:
-        """Yield the servers that the rules let the request go to."""
+        """Yield the servers to which the request may go."""
         is_eligible, request, now, allowed_builds = (
             self.is_eligible,
             self.request,
@@ -80,13 +86,13 @@
         return (server for server in servers if is_eligible(request, server, now, allowed_builds))
 
     def is_usable(self, server: Server) -> bool:
-        """Whether the server is in rotation and had no attempt of this request."""
+        """Whether the server is not ejected and has had no attempt of the request."""
         ejected = server.ejection.is_ejected(server.attempts_in_flight, self.now)
         return not ejected and server.id not in self.attempted_server_ids
 
 
 class LoadBalancer:
-    """Chooses servers for one instance."""
+    """Picks servers for the attempts of one instance."""
 
     def __init__(
         self,
@@ -118,10 +124,10 @@
         is_eligible: EligibilityCheck,
         allowed_builds: AllowedBuilds,
     ) -> Server | None:
-        """Return the server for the request's next attempt, None where there is none.
+        """Return the server for the request's next attempt, or None if no server is eligible.
 
-        A candidate at its concurrency limit takes no first attempts and passes none on: only the exposure
-        limit sends a candidate's key to another build.
+        A candidate at its concurrency limit gets no first attempts, and these do not go to another build
+        either: only the exposure limit moves the key of a candidate to another build.
         """
         ready = self.endpoints.ready_by_build
         unfinished_releases = {build: self.releases.unfinished_release(build) for build in ready}
@@ -146,7 +152,7 @@
         return self._pick_from_draw(context) or self._pick_from_all(context)
 
     def _pick_from_draw(self, context: PickContext) -> Server | None:
-        """Rank some servers of the candidate or, where it has none ready, of the builds that serve."""
+        """Pick from drawn servers of the candidate or, if none is ready, of the builds that serve."""
         pools = self._ready_pools(context, context.candidate) or self._ready_pools(context, None)
         pools = [pool for pool in pools if pool[0].build in context.builds_with_capacity]
         total = sum(map(len, pools))
@@ -159,12 +165,13 @@
         return min(context.eligible(usable), key=self._cost(context), default=None)
 
     def _pick_from_all(self, context: PickContext) -> Server | None:
-        """Rank all servers that may take the request; ejected ones and those it was at before come last.
+        """Pick from all servers that may take the request, or from a bounded sample of them.
 
-        As long as a build that serves has a server in rotation, another candidate's servers are not used.
+        Ejected servers and those that have had an attempt of the request come last. Servers of another
+        candidate are used only if no build that serves has a server in rotation.
         """
         serving = self._ready_pools(context, None)
-        # A server that is back and waits for its one attempt counts too: only the time is asked.
+        # Only the end of the ejection counts: a server that may get one attempt at a time is in rotation.
         in_rotation = any(server.ejection.ejected_until <= context.now for pool in serving for server in pool)
         if context.candidate or not in_rotation:
             builds = [
@@ -178,12 +185,12 @@
         return min(context.eligible(self._bounded_sample(pools)), key=self._cost(context), default=None)
 
     def _ready_pools(self, context: PickContext, release: Candidate | None) -> list[list[Server]]:
-        """Return the ready servers of each build that belongs to the release."""
+        """Return the ready servers of each build of the release; None selects builds that serve."""
         ready = self.endpoints.ready_by_build.items()
         return [pool for build, pool in ready if context.unfinished_releases[build] is release]
 
     def _cost(self, context: PickContext) -> Callable[[Server], tuple[bool, bool, float]]:
-        """Return the order in which servers are preferred."""
+        """Return the sort key by which servers are ranked, the best first."""
         candidate, unfinished_releases, now = context.candidate, context.unfinished_releases, context.now
         zone_latencies = context.zone_latencies
 
@@ -197,7 +204,7 @@
         return cost
 
     def _expected_wait(self, server: Server, unknown_latency: float, now: float) -> float:
-        """Return how long one more attempt would take, in latency objectives of a server of mean size."""
+        """Return the expected time of one more attempt, in latency objectives of a server of mean size."""
         zone_factor = (1.0 if server.zone == self.zone else CROSS_ZONE_FACTOR) * (
             1 + WAIT_JITTER * self.draw()
         )
@@ -208,7 +215,7 @@
     def _draw_servers(
         self, context: PickContext, pools: list[list[Server]], total: int, count: int
     ) -> list[Server]:
-        """Draw so many, not from slow zones, nor without a connection while many connects fail."""
+        """Draw `count` servers, preferring fast zones and, while many connects fail, open connections."""
         slow_zones = self._slow_zones(context.zone_latencies)
         prefer_open = self.connections.prefer_open_connections
         if not slow_zones and not prefer_open:
@@ -227,7 +234,7 @@
         return {zone for zone, latency in zone_latencies.items() if latency > max_latency}
 
     def _bounded_sample(self, pools: list[list[Server]]) -> Iterable[Server]:
-        """Return all servers of the pools, or a bounded number of them drawn with repetition."""
+        """Return all servers of the pools, or `MAX_SAMPLED_SERVERS` drawn with replacement if more."""
         total = sum(map(len, pools))
         if total <= MAX_SAMPLED_SERVERS:
             return [server for pool in pools for server in pool]
@@ -235,7 +242,7 @@
 
 
 def server_at(pools: list[list[Server]], position: int) -> Server:
-    """Return the server at a position of the pools laid end to end; IndexError beyond their end."""
+    """Return the server at a position in the concatenated pools; raises IndexError beyond their end."""
     for pool in pools:
         if position < len(pool):
             return pool[position]
--- a/gullmount/decisions/model.py
+++ b/gullmount/decisions/model.py
@@ -1,7 +1,7 @@
-"""The values that the decisions share with whatever feeds them: outcomes, routes, settings, endpoints.
+"""Values that the decisions share with the surrounding program: outcomes, routes, settings and endpoints.
 
-Nothing here decides anything. Times are seconds as floats, identifiers are kept as the runtime gives them.
-The values of the enumerations are stored in records of scenarios and must not change.
+Times are in seconds as floats; identifiers are kept as the runtime passes them. Values of the enumerations
+are stored in the records of scenarios and must not change.
 """
 
 from __future__ import annotations
@@ -15,49 +15,49 @@
     """How an attempt at a server ended."""
 
     COMPLETED = "completed"
-    """A complete answer arrived."""
+    """A complete response arrived."""
     ERROR = "error"
-    """The server answered with an error."""
+    """The server responded with an error."""
     OVERLOADED = "full"
-    """The server refused the request for lack of capacity; it did not run."""
+    """The server refused the request for lack of capacity; the request did not run."""
     TIMEOUT = "timeout"
-    """The attempt's time was up; the request may have run."""
+    """The attempt timed out; the request may have run."""
     CONNECT_FAILED = "connect_failed"
-    """No connection came up; the request did not run."""
+    """No connection was established; the request did not run."""
     RESET = "reset"
-    """The connection broke before the answer was complete; the request may have run."""
+    """The connection broke before the response was complete; the request may have run."""
     CANCELLED = "cancelled"
-    """The client left; the request may have run."""
+    """The client disconnected; the request may have run."""
     EXPIRED = "moot"
-    """The attempt was given up before anything was sent, or the deadline passed before the server began."""
+    """The attempt was abandoned before anything was sent, or the deadline passed before the server began."""
 
 
 NOT_EXECUTED_OUTCOMES = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.EXPIRED)
 """Outcomes after which the server cannot have executed the request."""
 
 NO_RESPONSE_OUTCOMES = (Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.RESET)
-"""Failures without a complete answer."""
+"""Failures without a complete response."""
 
 FAILURE_OUTCOMES = (*NO_RESPONSE_OUTCOMES, Outcome.ERROR)
-"""Outcomes that speak against the server, for its latency estimate and for outlier ejection."""
+"""Outcomes that count as failures of the server, for its latency estimate and for outlier ejection."""
 
 
 class RejectionReason(Enum):
-    """Why no further attempt is made at a request that is rejected or fails."""
+    """Why a request that is rejected or fails gets no further attempt."""
 
     ENDPOINTS_STALE = "server list out of date"
     DEADLINE_TOO_CLOSE = "too little time left"
     RETRY_BUDGET_EXHAUSTED = "retry budget spent"
     ATTEMPTS_EXHAUSTED = "attempts used up"
     NO_ELIGIBLE_SERVER = "no server may take it"
-    """None of the above: no server is ready, or a rule bars each that is.
+    """None of the above: no server is ready, or a rule excludes each ready server.
 
-    The rules are the concurrency limit, affinity, the exposure limit, retry safety and slow start.
+    These rules are the concurrency limit, affinity, the exposure limit, retry safety and slow start.
     """
 
 
 class Vote(Enum):
-    """What an instance tells the release controller about a candidate."""
+    """What an instance votes on a candidate at the release controller."""
 
     NONE = "none"
     PROMOTE = "on"
@@ -66,7 +66,7 @@
 
 
 class ReleasePhase(Enum):
-    """Where a build stands in its release."""
+    """Phase of the release of a build."""
 
     CANDIDATE = "on_trial"
     ROLLING_BACK = "going_back"
@@ -79,18 +79,18 @@
 
 
 class RetrySafety(Enum):
-    """What a route allows once an attempt may have run."""
+    """Which further attempts a route allows once an attempt may have run."""
 
     IDEMPOTENT = "retriable"
     """Any further attempt."""
     DEDUPLICATED = "deduped"
-    """A further attempt within the deduplication scope and window: the servers there drop the second run."""
+    """A further attempt within the deduplication scope and window, where servers drop a second run."""
     AT_MOST_ONCE = "non_retriable"
     """No further attempt."""
 
 
 class DeduplicationScope(Enum):
-    """Which servers recognise a second attempt of the same request, seen from the first one's server."""
+    """Which servers recognise a second attempt of a request, relative to the server of the first."""
 
     ALL = "all"
     ZONE = "zone"
@@ -98,7 +98,7 @@
 
 
 class EndpointState(Enum):
-    """What discovery says of a server."""
+    """State of a server as discovery reports it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -106,10 +106,10 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What a message about endpoints holds."""
+    """Content of an endpoint update."""
 
     UPDATE = "changes"
-    """Changed entries only."""
+    """The changed entries."""
     SNAPSHOT = "full"
     """The complete list."""
     CACHED = "remembered"
@@ -120,82 +120,82 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One class of requests, as the settings describe it."""
+    """A class of requests with its objective and retry rules, from the settings."""
 
     name: str
     latency_objective: float
-    """Seconds within which an answer is worth its full value."""
+    """Seconds within which a response has its full value."""
     retry_safety: RetrySafety
     deduplication_scope: DeduplicationScope
     deduplication_window: float
-    """Seconds from the first attempt that may have run in which servers drop a second run."""
+    """Seconds after the first attempt that may have run during which servers drop a second run."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseSettings:
-    """How the release controller offers builds and what votes bring about."""
+    """How candidates are exposed and how votes on them take effect."""
 
     exposure_limits: Sequence[float]
-    """By stage: the share of the requests that may be sent to the candidate, from 0 to 1."""
+    """For each stage, the share of requests from 0 to 1 that may be sent to the candidate."""
     counted_by_route: bool
-    """Whether the exposure limit holds for each route by itself."""
+    """Whether the exposure limit applies to each route separately."""
     idempotent_only_stages: int
-    """So many first stages admit idempotent requests only."""
+    """Number of first stages in which a candidate gets idempotent requests only."""
     one_way: bool
-    """Whether a key that a newer build answered may never go to an older one."""
+    """Whether a key that a newer build served may never go to an older one."""
     exposure_window: float
     """Seconds over which attempts and requests are counted for the exposure limit."""
     exposure_slack: float
     """Attempts allowed beyond the limit in each window."""
     advances_by_timer: bool
-    """Whether stages advance without votes."""
+    """Whether stages advance by timer, without votes."""
     vote_lifetime: float
     """Seconds for which a vote counts at the release controller."""
     votes_to_promote: int
     votes_to_roll_back: int
     votes_per_second: float
-    """Votes that the release controller accepts from all instances together."""
+    """Votes per second that the release controller accepts from all instances together."""
     metrics_period: float
-    """Seconds that one report of the platform's metrics covers."""
+    """Seconds that one metrics report of the platform covers."""
     concurrent_candidates: int = 1
-    """Candidates that may be in release beside each other."""
+    """Number of candidates that may be in release at the same time."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """All that one instance is configured with."""
+    """Configuration of one instance."""
 
     seed: int
     routes: Mapping[str, Route]
     release: ReleaseSettings
     zone: str
-    """The zone that this instance runs in."""
+    """Zone of this instance."""
     instance_number: int
-    """This instance's place among its peers, from 0."""
+    """Index of this instance among its peers, from 0."""
     instance_count: int
     gossip_enabled: bool
-    """Whether instances may send each other messages."""
+    """Whether instances may send messages to each other."""
     connection_idle_timeout: float
     """Seconds after which a server may close an idle connection."""
     cold_capacity: float
-    """Share of its capacity that a server has at its start, from 0 to 1."""
+    """Share of its capacity, from 0 to 1, that a server has when it starts."""
     warm_up_time: float
-    """Seconds from a server's start until it has all of its capacity."""
+    """Seconds from the start of a server until it has its full capacity."""
     overload_multiple: float
-    """Times its capacity from which on a cold server collapses."""
+    """Load as a multiple of its capacity at which a cold server collapses."""
     max_attempts: int
-    """Attempts that a request may have in all."""
+    """Largest number of attempts of a request."""
     may_watch_endpoints: bool
-    """Whether discovery sends endpoints after a call of `Runtime.watch_endpoints`."""
+    """Whether discovery sends endpoints in response to `Runtime.watch_endpoints`."""
     max_retry_after: float
-    """Seconds that a rejected client may be asked to wait at most; 0 where none may be."""
+    """Longest Retry-After of a rejection, in seconds; 0 if clients may not be asked to wait."""
     restarted: bool = False
-    """Whether attempts of an earlier process of this instance may still count for the exposure limit."""
+    """Whether attempts of an earlier process of this instance may still count toward the exposure limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One server as discovery lists it."""
+    """An entry of the endpoint list of discovery: one server."""
 
     server_id: str
     zone: str
@@ -204,6 +204,6 @@
     build: int
     state: EndpointState
     capacity_hint: float
-    """The server's size relative to others; 0 where it is not known."""
+    """Size of the server relative to others; 0 if it is not known."""
     started_at: float
-    """Seconds on the runtime's clock; 0 or less where it is not known."""
+    """Start time in seconds on the runtime's clock; 0 or less if it is not known."""
--- a/gullmount/decisions/retries.py
+++ b/gullmount/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Retries: which requests may be tried again, how often, and how long an attempt may take."""
+"""Decides which requests may be retried, how often, and how long an attempt may take."""
 
 from __future__ import annotations
 
@@ -6,10 +6,14 @@
 from gullmount.decisions.model import NOT_EXECUTED_OUTCOMES, DeduplicationScope, Outcome, RetrySafety
 from gullmount.decisions.requests import Attempt, Request
 
-RETRIES_PER_REQUEST = 0.2  # retries that each accepted request adds to the budget: overload must not amplify
-MAX_FLEET_RETRY_BUDGET = 40.0  # retries saved up by all instances together; each has one at least
-ATTEMPT_TIMEOUT_OBJECTIVES = 1.0  # latency objectives that an attempt may take while a retry could follow
-OVERLOAD_LATENCY_OBJECTIVES = 0.5  # of expected latency, from which an attempt gets all the time left
+# Retries that each accepted request adds to the budget, so that retries do not amplify an overload.
+RETRIES_PER_REQUEST = 0.2
+# Largest budget of all instances together; the limit of each instance is at least one retry.
+MAX_FLEET_RETRY_BUDGET = 40.0
+# Latency objectives that an attempt may take while a retry could follow.
+ATTEMPT_TIMEOUT_OBJECTIVES = 1.0
+# Expected latency in latency objectives from which an attempt gets all the time left.
+OVERLOAD_LATENCY_OBJECTIVES = 0.5
 
 
 class RetryBudget:
@@ -25,7 +29,7 @@
         return self.available_retries < 1
 
     def record_request(self) -> None:
-        """Add what an accepted request allows."""
+        """Add the retries that an accepted request allows, up to the limit."""
         self.available_retries = min(self.limit, self.available_retries + RETRIES_PER_REQUEST)
 
     def record_attempt(self, request: Request) -> None:
@@ -35,7 +39,7 @@
 
 
 def record_possible_execution(request: Request, attempt: Attempt, outcome: Outcome) -> None:
-    """Remember the first attempt that may have run: deduplication goes by its place and time."""
+    """Record the place and time of the first attempt that may have run, which decide on deduplication."""
     if outcome in NOT_EXECUTED_OUTCOMES or request.deduplication_group is not None:
         return
     request.deduplication_group = attempt.deduplication_group
@@ -43,7 +47,7 @@
 
 
 def retry_is_safe(request: Request, server: Server, now: float) -> bool:
-    """Whether the server may get the request, given what an earlier attempt may have done."""
+    """Whether the server may get the request, given that an earlier attempt may have run."""
     route, group = request.route, request.deduplication_group
     if group is None or route.retry_safety is RetrySafety.IDEMPOTENT:
         return True
@@ -55,7 +59,7 @@
 
 
 def client_may_retry(request: Request) -> bool:
-    """Whether the client may send the request again: it had no effect, or a second run has none."""
+    """Whether the client may send the request again: it had no effect, or a second run would have none."""
     route = request.route
     if request.deduplication_group is None or route.retry_safety is RetrySafety.IDEMPOTENT:
         return True
@@ -65,12 +69,11 @@
 
 
 def attempt_timeout(request: Request, max_attempts: int, expected_latency: float, now: float) -> float:
-    """Return the seconds that the next attempt may take.
+    """Return the timeout of the next attempt in seconds.
 
-    While a retry could follow that is one latency objective or half of the time left, whichever is more, and
-    never more than the time left. In
-    an overload it is all the time left: an attempt that is cut off works on at its server for nobody.
-    `expected_latency` is in latency objectives.
+    While a retry could follow, it is one latency objective or half of the time left, whichever is more, and
+    never more than the time left. In an overload it is all the time left, as a server continues to work on an
+    attempt that timed out. `expected_latency` is in latency objectives.
     """
     time_left = request.deadline - now
     retry_could_follow = (
--- a/gullmount/decisions/router.py
+++ b/gullmount/decisions/router.py
@@ -1,9 +1,8 @@
-"""The way of one request through the rules, and of what discovery, releases and peers say into them.
+"""Applies the rules to each request, and passes updates from discovery, releases and peers to the rules.
 
-Make one `Router(runtime, settings)` for each instance. `accept` returns a `Request`; what happens to it
-later is a call on that. Answers leave through the runtime at once, in the same call. Every rule is in a
-module of its own and keeps its own state; nothing is decided here but the order in which the rules are
-asked.
+Create one `Router(runtime, settings)` for each instance. `accept` returns a `Request`, whose methods report
+what happens to it later. Responses leave through the runtime within the same call. Each rule has a module and
+state of its own; this module decides only the order in which the rules are applied.
 """
 
 from __future__ import annotations
@@ -44,20 +43,21 @@
 from gullmount.decisions.traffic_split import TrafficSplit
 from gullmount.decisions.voting import Evaluation, EvidenceThresholds, Voting
 
-WATCH_RETRY_SECONDS = (1.0, 3.0)  # between which a refused watch is asked for again, at random
+# Bounds of the random delay before a refused watch is requested again.
+WATCH_RETRY_SECONDS = (1.0, 3.0)
 CONNECTED_OUTCOMES = (Outcome.COMPLETED, Outcome.ERROR, Outcome.OVERLOADED)
 
 
 def never_stale(now: float) -> bool:  # noqa: ARG001 (the signature of what replaces it)
-    """Say that the endpoints may always be routed by.
+    """Return False: the endpoints never become too old for routing.
 
-    The simulator and the generic proxy go by this; `platform.discovery_watch` replaces it.
+    The simulator and the generic proxy use this function; `platform.discovery_watch` replaces it.
     """
     return False
 
 
 class Router:
-    """The decisions of one instance; lives as long as it does."""
+    """Makes the decisions of one instance."""
 
     def __init__(self, runtime: Runtime, settings: InstanceSettings) -> None:
         self.runtime = runtime
@@ -88,19 +88,19 @@
         self.canary = CanaryAnalysis(settings, self.releases, self.endpoints, self.slow_start, thresholds)
         self.voting = Voting(runtime, settings, self.releases, thresholds, self.draw)
         self.attribution = attribution_for(settings)
-        """In place of canary analysis where two candidates may be in release; None elsewhere."""
+        """Replaces canary analysis if two candidates may be in release; otherwise None."""
         self.endpoints_are_stale: Callable[[float], bool] = never_stale
-        """Set by whoever keeps the endpoints up to date: whether they may not be routed by any more."""
+        """Returns whether the endpoints are too old for routing; set by the code that updates them."""
         self.rejection_reason = RejectionReason.NO_ELIGIBLE_SERVER
-        """Read by the runtime within its `reject` or `fail`; of no meaning at other times."""
+        """Reason of the rejection or failure, valid only during the runtime's `reject` or `fail`."""
         if settings.may_watch_endpoints:
             runtime.watch_endpoints()
         runtime.call_after(EVALUATION_INTERVAL_SECONDS * self.draw(), self.evaluate)
 
-    # What discovery, the release controller, peers and the platform say
+    # Updates from discovery, the release controller, peers and the platform
 
     def update_endpoints(self, kind: EndpointUpdateKind, endpoints: Iterable[Endpoint]) -> None:
-        """Apply what discovery sent; a refused watch is asked for again."""
+        """Apply an endpoint update from discovery, or request a refused watch again after a random delay."""
         if kind is EndpointUpdateKind.REFUSED:
             shortest, longest = WATCH_RETRY_SECONDS
             delay = shortest + (longest - shortest) * self.draw()
@@ -109,9 +109,9 @@
         self.endpoints.update(kind, endpoints, self.runtime.now())
 
     def update_release(self, build: int, stage: int, phase: ReleasePhase, exposure_limit: float) -> None:
-        """Apply a build's release status.
+        """Apply the release status of a build.
 
-        That of an older build, or of one that was rolled back, says nothing.
+        The status of an older build, or of a build that was rolled back, is ignored.
         """
         candidate = self.releases.find(build)
         if candidate is None:
@@ -131,9 +131,9 @@
     def record_metrics(
         self, build: int, route: str, attempts: int, lost: int, mean_time: float, age: float
     ) -> None:
-        """Take in the platform's count of attempts of one route at one build.
+        """Record the platform's counts of attempts of one route at one build.
 
-        `mean_time` is in seconds; the period that was counted ended `age` seconds ago.
+        `mean_time` is the mean latency in seconds. The counted period ended `age` seconds ago.
         """
         report = MetricsReport(attempts, lost, mean_time)
         self.canary.record_metrics(build, route, report, self.runtime.now() - age)
@@ -141,27 +141,34 @@
     def receive_vote(
         self, peer: int, build: int, stage: int, vote: Vote, arrived_at: float | None = None
     ) -> None:
-        """Take in the vote that the instance of that number sent.
+        """Record the vote of the instance with number `peer`.
 
-        `arrived_at`: the earliest time at which it can have arrived, where that is not just now.
+        `arrived_at` is the earliest time at which the vote can have arrived; the present time if it is None.
         """
         now = self.runtime.now()
         self.voting.receive(peer, build, stage, vote, now if arrived_at is None else arrived_at)
 
     def vote_failed(self, build: int | None = None) -> None:
-        """Take note that the last vote on the build got no good answer, or on any where none is named."""
+        """Report that the last vote on the build was not accepted; on any build if `build` is None."""
         self.voting.retry(build)
 
-    # The way of a request
+    # Requests and their attempts
 
     def accept(
         self, request_id: str, route: str, deadline: float, key: str | None, arrived_at: float | None = None
     ) -> Request:
-        """Take a request; its first attempt, or its answer, leaves through the runtime before this returns.
-
-        `deadline` and `arrived_at` are in seconds on the runtime's clock. The latter is the earliest time at
-        which the request can have arrived, where that is not just now. KeyError for a route that the settings
-        don't name.
+        """Accept a request, and forward, reject or fail it through the runtime before returning.
+
+        Args:
+            request_id: Identifies the request to the runtime.
+            route: Name of the request's route.
+            deadline: Time in seconds on the runtime's clock after which nobody waits for the response.
+            key: Affinity key, or None.
+            arrived_at: Earliest time in seconds on the runtime's clock at which the request can have arrived;
+                the present time if it is None.
+
+        Raises:
+            KeyError: The settings have no such route.
         """
         position = hash_position(key or request_id)
         request = Request(self, request_id, self.settings.routes[route], deadline, key, position)
@@ -174,9 +181,9 @@
     def attempt_ended(
         self, request: Request, number: int, outcome: Outcome, latency: float, final: bool
     ) -> None:
-        """Take in the end of an attempt, `latency` seconds after it was sent, and go on with the request.
+        """Record the end of an attempt, `latency` seconds after it was sent, and continue the request.
 
-        `final` says that the request has its answer, by this attempt or before.
+        `final` says that the client has its response, from this attempt or an earlier one.
         """
         now = self.runtime.now()
         attempt = request.attempts[number]
@@ -198,21 +205,22 @@
             self._advance(request)
 
     def pick(self, request: Request, now: float) -> Server | None:
-        """Return the server for the request's next attempt, None where no server may get it."""
+        """Return the server for the request's next attempt, or None if no server may get it."""
         if self.endpoints_are_stale(now):
-            return None  # any server may be draining by now
+            # Any server may be draining by now.
+            return None
         candidate = self.traffic_split.candidate_for(request)
         return self.load_balancer.pick(
             request, candidate, now, self.allowed, self.allowed_builds(request, now)
         )
 
-    # The gate: every attempt passes it
+    # Checks that every attempt passes
 
     def allowed(self, request: Request, server: Server, now: float, allowed_builds: AllowedBuilds) -> bool:
         """Whether the server may get an attempt of the request.
 
-        Slow start comes last, as being asked updates the server's credit. `allowed_builds` keeps the answer
-        by build while one server is chosen.
+        Slow start is checked last, as the check updates the server's credit. `allowed_builds` caches the
+        result for each build during one pick.
         """
         return (
             server.ready
@@ -225,13 +233,13 @@
         )
 
     def allowed_builds(self, request: Request, now: float) -> AllowedBuilds:
-        """Return which builds may get one more attempt of the request now."""
+        """Return a cache of which builds may get one more attempt of the request now."""
         return AllowedBuilds(lambda build: self._build_allowed(request, build, now, additional_attempts=1))
 
     def attempt_still_allowed(self, request: Request, number: int) -> bool:
-        """Whether an attempt that waited for its connection may go out, by what is known now.
+        """Whether an attempt that waited for its connection may still be sent.
 
-        One that may counts as sent now for the exposure limit.
+        If so, it counts as sent now for the exposure limit.
         """
         now = self.runtime.now()
         attempt = request.attempts[number]
@@ -249,7 +257,7 @@
         return allowed
 
     def _build_allowed(self, request: Request, build: int, now: float, additional_attempts: int) -> bool:
-        """Whether affinity and the exposure limit let so many more attempts go to the build."""
+        """Whether affinity and the exposure limit allow this many additional attempts at the build."""
         if not self.affinity.allows(request, build):
             return False
         candidate = self.releases.unfinished_release(build)
@@ -258,7 +266,7 @@
         return self.exposure.allows(request.route, build, candidate, now, additional_attempts)
 
     def _advance(self, request: Request) -> None:
-        """Begin the request's next attempt, or end it at once: a request is never kept waiting."""
+        """Start the request's next attempt, or end the request at once: requests are never queued."""
         now = self.runtime.now()
         expected_latency = self.latencies.expected(now)
         deadline_reachable = admission.deadline_can_be_met(request, expected_latency, now)
@@ -298,7 +306,7 @@
         else:
             self.runtime.fail(request.id)
 
-    # What an attempt's end tells the rules
+    # Updates of the rules at the end of an attempt
 
     def _record_health(
         self, request: Request, attempt: Attempt, outcome: Outcome, latency: float, now: float
@@ -330,7 +338,7 @@
     # Evaluation of the candidates
 
     def evaluate(self) -> None:
-        """Move the traffic split, compare each candidate with the baseline and vote; calls itself again."""
+        """Update the traffic split, compare candidates with the baseline, vote; schedule the next call."""
         self.runtime.call_after(EVALUATION_INTERVAL_SECONDS, self.evaluate)
         now = self.runtime.now()
         self.traffic_split.update(now)
@@ -351,7 +359,7 @@
             self.voting.cast(candidate, evaluation, now)
 
     def _prune_builds(self) -> None:
-        """Drop what is kept of builds neither in release nor listed, so that memory does not grow."""
+        """Drop the state of builds that are neither in release nor listed, so that memory stays bounded."""
         in_release = {candidate.build for candidate in self.releases.candidates}
         active_builds = in_release | self.endpoints.ready_by_build.keys()
         self.exposure.prune_builds(active_builds, self.runtime.now())
