--- a/gullmount/decisions/affinity.py
+++ b/gullmount/decisions/affinity.py
@@ -65,7 +65,7 @@
     def attempt_ended(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
         """Record the end of an attempt, and the build if it counts as having served the key.
 
-        With `one_way`, any attempt that the build may have answered counts, as its response may be lost or
+        With `one_way`, any attempt that the build may have served counts, as its response may be lost or
         still on its way. The build that the server is listed with by now counts instead if it is newer.
         """
         if request.key is None:
@@ -74,15 +74,15 @@
         phases = {candidate.phase for candidate in self.releases.candidates}
         build = attempt.build
         served = outcome is Outcome.COMPLETED
-        tracked = ReleasePhase.CANDIDATE in phases
+        affinity_applies = ReleasePhase.CANDIDATE in phases
         if self.one_way:
             build = max(build, attempt.server.build)
             served = outcome is not Outcome.ERROR and outcome not in NOT_EXECUTED_OUTCOMES
             # An attempt that is no longer pinned was at a build that has been rolled back since.
             served = served and (was_pinned or build != attempt.build)
             newer_than_named = build > self.releases.newest.build
-            tracked = tracked or ReleasePhase.RELEASED in phases or newer_than_named
-        if served and tracked:
+            affinity_applies = affinity_applies or ReleasePhase.RELEASED in phases or newer_than_named
+        if served and affinity_applies:
             self._record_build(request.hash_position, build)
 
     def remove_build(self, build: int) -> None:
--- a/gullmount/decisions/concurrency_limit.py
+++ b/gullmount/decisions/concurrency_limit.py
@@ -32,7 +32,7 @@
 
 # Least time between decreases, about the time after which a decrease shows in the responses.
 DECREASE_INTERVAL_SECONDS = 0.25
-# Decreases that are applied at once by an instance whose responses are too rare for one at each interval.
+# Largest number of decreases applied at once, if responses arrive less often than once in an interval.
 MAX_COMBINED_DECREASES = 6.0
 
 RECORDED_OUTCOMES = (Outcome.COMPLETED, Outcome.TIMEOUT, Outcome.OVERLOADED)
--- a/gullmount/decisions/endpoint_freshness.py
+++ b/gullmount/decisions/endpoint_freshness.py
@@ -137,7 +137,7 @@
         return EndpointListState.SUSPECT if self.suspect else EndpointListState.FRESH
 
     def call_succeeded(self, began_at: float, now: float, response_started_at: float | None = None) -> None:
-        """Renew the list's time and schedule the call that continues the watch.
+        """Renew the list's validity and schedule the call that continues the watch.
 
         Args:
             began_at: When the call was made, in seconds.
@@ -158,8 +158,8 @@
     def call_failed(self, failure: CallFailure, began_at: float, now: float) -> None:
         """Schedule the call after one that was made at `began_at` and failed.
 
-        An unreachable discovery extends the list's time, as it cannot have notified any change. Any other
-        failure before the first successful call ends that time at once.
+        An unreachable discovery extends the list's validity, as it cannot have notified any change. Any other
+        failure before the first successful call ends the validity at once.
         """
         self.suspect = True
         if failure is CallFailure.UNREACHABLE:
@@ -177,7 +177,7 @@
             self._schedule_after_failure(now, BROKEN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
 
     def discovery_address_changed(self, now: float) -> None:
-        """Shorten the list's time and schedule the first call to discovery's new address."""
+        """Shorten the list's validity and schedule the first call to discovery's new address."""
         self.stale_at = min(self.stale_at, now + NOTIFIED_AFTER_ADDRESS_CHANGE_SECONDS)
         self.consecutive_failures = 0
         self.suspect = True
--- a/gullmount/decisions/exposure.py
+++ b/gullmount/decisions/exposure.py
@@ -23,7 +23,6 @@
     def __init__(self) -> None:
         self.request_times: deque[float] = deque()
         self.attempt_times_by_build: dict[int, deque[float]] = defaultdict(deque)
-        """By build."""
 
     def record_request(self, arrived_at: float, window_start: float) -> None:
         """Count a request and drop those before `window_start`."""
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: which requests are rejected at once."""
+"""Tests which requests are rejected without an attempt."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -1,4 +1,4 @@
-"""Affinity: which build a key met and where its attempts are."""
+"""Tests which builds the attempts of a key may go to."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def test_one_way_key_with_an_attempt_at_the_candidate_goes_to_no_older_build() -> None:
-    """Its answer may be on the way here, written before the second try arrives at the earlier build."""
+    """The candidate may have written its response before a second attempt reaches the older build."""
     harness = one_way_harness()
     key = key_of_candidate(harness)
     first, second = harness.accept("look", key), harness.accept("pay", key)
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
 def test_one_way_key_stays_with_a_build_whose_response_did_not_arrive(outcome: Outcome) -> None:
-    """The answer lies unheard at the socket as the try's time is up or its client leaves, or was lost."""
+    """The response may be unread at a timeout or a disconnect of the client, or lost with the connection."""
     harness = one_way_harness()
     key = key_of_candidate(harness)
     first = harness.accept("look", key)
@@ -59,7 +59,7 @@
 
 
 def test_one_way_key_with_an_attempt_at_an_older_build_stays_there() -> None:
-    """Its bytes may wait on a cut link and arrive after the new build's answer to a second try."""
+    """The first attempt may be held up on a cut link and arrive after the newer build served a second one."""
     harness = one_way_harness()
     key = key_of_candidate(harness)
     slow_request, second = harness.accept("pay", key), harness.accept("look", key)
@@ -82,7 +82,7 @@
 
 
 def test_one_way_key_stays_with_the_build_its_server_was_relisted_with_during_an_attempt() -> None:
-    """Builds count as the list last showed them: here after the send and before the answer."""
+    """The build that counts is the last listed one; here it changes between the send and the response."""
     harness = one_way_harness()
     key = key_of_candidate(harness)
     request = harness.accept("pay", key)
@@ -129,7 +129,7 @@
         harness.advance_clock(0.02)
     assert len(keys_of_candidate) > 150 and len(harness.router.affinity.last_build_by_key) <= 51
     harness.router.traffic_split.update = lambda now: None
-    # As after a cap that fell: only what is remembered keeps a key on its build.
+    # As after a lowered exposure limit: only the tracked builds keep a key at its build.
     harness.router.releases.candidates[-1].traffic_share = 0.0
     for key in sorted(keys_of_candidate):
         forwarded_before = len(harness.forwarded)
@@ -139,7 +139,10 @@
 
 
 def test_one_way_key_stays_with_its_attempt_when_an_older_one_of_a_rolled_back_build_ends() -> None:
-    """A build that is rolled back with exposure left got the key twice; one end must not free the other."""
+    """Guards against the end of one attempt that releases a key pinned by another at the same build.
+
+    A build that is rolled back with an exposure limit above 0 gets two attempts of the key.
+    """
     harness = RouterHarness(one_way=True, exposure_slack=1e9)
     harness.list_servers({"a1": 1, "b1": 2})
     harness.set_release(stage=0, cap=0.5)
@@ -158,9 +161,9 @@
 def test_one_way_key_goes_to_no_older_build_than_that_of_its_attempt_after_a_rollback(
     idempotent_only_stages: int, zones: list[str]
 ) -> None:
-    """Guards against the end of one attempt that took the mark of another at the same build.
+    """Guards against the end of one attempt that removes the pin of another at the same build.
 
-    The key stays at the build of its attempt where the route may go there, and is rejected where it may not.
+    The key stays at the build of its attempt if the route may go there, and is rejected if not.
     """
     harness = RouterHarness(one_way=True, exposure_slack=1e9, idempotent_only_stages=idempotent_only_stages)
     harness.list_servers({"a1": 1, "b1": 2})
@@ -173,12 +176,12 @@
     second = harness.accept("look", "k")
     assert zones_of(harness, first) == ["b"] and zones_of(harness, second) == ["b"]
     harness.end_attempt(first, Outcome.EXPIRED)
-    assert zones_of(harness, first) == ["b", "b"], "its retry, beside the attempt in flight"
+    assert zones_of(harness, first) == ["b", "b"], "the retry goes to the build of the attempt in flight"
     assert zones_of(harness, harness.accept("pay", "k")) == zones
 
 
 def test_late_response_of_a_rolled_back_build_does_not_pin_a_one_way_key() -> None:
-    """Guards against an answer that binds its key to a build that was rolled back while it was awaited."""
+    """Guards against a response that pins its key to a build rolled back during the attempt."""
     harness = one_way_harness()
     key = key_of_candidate(harness)
     first = harness.accept("look", key)
--- a/tests/decisions/test_affinity_orders.py
+++ b/tests/decisions/test_affinity_orders.py
@@ -1,8 +1,9 @@
-"""All orders of what can happen to one key with `one_way`, up to a depth, against the page's rule.
+"""Explores all orders of events of one key with `one_way` up to a depth and checks two rules at each send.
 
-The page: no key that the newest named build, or a later one, has answered goes to a lower build, unless that
-build is rolled back. Beside it stands what the module promises of answers that are
-still to come: all attempts in flight at builds that were not rolled back meanwhile are at one build.
+- A key that the newest named build, or a later one, has served goes to no lower build, unless that build is
+  rolled back. This is the specified rule.
+- All attempts in flight at builds that have not been rolled back since are at one build, as their responses
+  are still to come. The affinity module promises this.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 @dataclass
 class TrackedAttempt:
-    """An attempt in flight; `rolled_back` once its build was rolled back."""
+    """An attempt in flight, and whether its build has been rolled back since."""
 
     attempt: Attempt
     rolled_back: bool = False
@@ -51,7 +52,7 @@
 
 @dataclass
 class KeyHistory:
-    """The real rules, and what the page would have known of the key."""
+    """The affinity module under test and the history of one key that the rules are checked against."""
 
     affinity_class: type[Affinity] = Affinity
     releases: Releases = field(default_factory=lambda: Releases(SETTINGS))
@@ -76,7 +77,10 @@
             yield from (("status", build, phase) for phase in phases if self.admits(build, phase))
 
     def admits(self, build: int, phase: ReleasePhase) -> bool:
-        """Whether the release controller can say so next: a build begins as a candidate and ends for good."""
+        """Whether the release controller can report this phase next.
+
+        A build starts as a candidate, and a build that ended does not return.
+        """
         known = self.phases.get(build)
         if build < max(self.phases, default=0) or phase is known:
             return False
@@ -114,11 +118,13 @@
 
     def check_send(self, build: int) -> None:
         newest = max(self.phases, default=0)
-        newer_than_named = {met for met in self.serving_builds if met > newest}
+        newer_than_named = {served for served in self.serving_builds if served > newest}
         minimum_builds = newer_than_named | (
             {newest} & self.serving_builds if self.phases.get(newest) in (CANDIDATE, RELEASED) else set()
         )
-        assert build >= max(minimum_builds, default=0), f"the key met {minimum_builds} and goes to {build}"
+        assert build >= max(minimum_builds, default=0), (
+            f"the key was served by {minimum_builds} and goes to {build}"
+        )
         others = {tracked.attempt.build for tracked in self.in_flight if not tracked.rolled_back}
         assert others <= {build}, f"attempts in flight at {others} and one at {build}"
 
@@ -149,7 +155,7 @@
 
 
 def explore(depth: int, affinity_class: type[Affinity] = Affinity) -> int:
-    """Go through all orders, each state once; returns how many states there are."""
+    """Explore all orders of events, each state once, and return the number of states."""
     seen = {KeyHistory(affinity_class).state()}
     paths: list[tuple[Action, ...]] = [()]
     for _ in range(depth):
@@ -168,7 +174,7 @@
 
 
 class RemovesWrongAttempt(Affinity):
-    """Planted: an attempt's end takes the mark of any attempt at the same build."""
+    """Contains a deliberate fault: the end of an attempt removes that of any attempt at the same build."""
 
     def _remove_in_flight(self, position: float, attempt: Attempt) -> bool:
         builds_by_attempt = self.in_flight_builds_by_key.get(position, {})
@@ -182,5 +188,8 @@
 
 
 def test_one_way_key_returns_to_no_older_build_in_any_order_of_events() -> None:
-    """Guards against an attempt's end that takes another's mark: found in four events on the code before."""
+    """Guards against the end of an attempt that removes another one's pin.
+
+    In earlier code the exploration found this fault after four events.
+    """
     assert explore(DEPTH) > 1000
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The concurrency limit: attempts in flight by build."""
+"""Tests the limit on attempts in flight at each build."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     lowered_limit = harness.router.concurrency.by_build[1].attempts_per_server
     assert lowered_limit < 0.5
     attempts = [harness.accept("pay") for _ in range(40)]
-    assert any(not request.attempts for request in attempts), "a full bound sheds"
+    assert any(not request.attempts for request in attempts), "requests beyond the limit are rejected"
     for _ in range(30):
         for request in attempts:
             harness.end_attempt(request)
--- a/tests/decisions/test_endpoint_freshness.py
+++ b/tests/decisions/test_endpoint_freshness.py
@@ -1,8 +1,11 @@
-"""The server list's freshness: all short orders of what a call can come to, against the rule on told changes.
+"""Tests how long an endpoint list is used, with all short orders of call results, and when calls are made.
 
-The model knows only the users' sentences: what an answer brought is known; a change made since then counts as
-told 6 s after discovery had it, and not while no connection to discovery came up; after a failed call of an
-instance that never had an answer any change may be old enough already.
+The model follows the specification:
+
+- A successful call brings all changes made so far.
+- A later change counts as notified 6 s after discovery had it, but not while no connection to discovery could
+  be established.
+- After a failed call of an instance that has had no successful one, any change may already count as notified.
 """
 
 from __future__ import annotations
@@ -21,24 +24,28 @@
     response_deadline,
 )
 
-NOTIFIED_AFTER = 6.0  # s, the users' figure
-DRAIN_GRACE = 0.5  # s of the rule on drains
-NOTIFIED_AFTER_ADDRESS_CHANGE = 4.0  # s after SIGHUP
+# Seconds after which a change counts as notified, by the specification.
+NOTIFIED_AFTER = 6.0
+# Grace in seconds of the rule on draining servers.
+DRAIN_GRACE = 0.5
+# Seconds after which changes count as notified once SIGHUP has changed the address of discovery.
+NOTIFIED_AFTER_ADDRESS_CHANGE = 4.0
 EVENTS = ("news", "nothing", "refused", "refused at once", "broken", "silent", "unreachable", "moved")
-MAX_EVENTS = 5  # events of an order; 8^5 orders
-CHECK_INTERVAL = 0.25  # s between looks at whether requests may be sent
+# Number of events of the longest order; there are 8^5 orders of that length.
+MAX_EVENTS = 5
+# Seconds between two checks of whether requests may be sent.
+CHECK_INTERVAL = 0.25
 
 
 class NotificationModel:
-    """The earliest moment from which a change that has not arrived may count as told."""
+    """Computes the earliest time at which a change that has not arrived may count as notified."""
 
     def __init__(self, now: float) -> None:
-        self.notified_from = (
-            now + NOTIFIED_AFTER
-        )  # of the list in hand, as long as the first call has not failed
+        # Holds for the initial list as long as the first call has not failed.
+        self.notified_from = now + NOTIFIED_AFTER
         self.synced = False
 
-    def answered(self, now: float) -> None:
+    def succeeded(self, now: float) -> None:
         self.notified_from, self.synced = now + NOTIFIED_AFTER, True
 
     def failed(self, now: float) -> None:
@@ -53,7 +60,7 @@
 
 
 def find_violations(events: tuple[str, ...], instances: int, seed: int) -> list[float]:
-    """Looks at which a request would be sent though a change counts as told for longer than the grace."""
+    """Return the times at which requests may be sent though a change counts as notified beyond the grace."""
     now = 100.0
     freshness, model, violations = EndpointFreshness(instances, Random(seed), now), NotificationModel(now), []
     for event in events:
@@ -70,7 +77,7 @@
             now = min(end, now + CHECK_INTERVAL)
         if event in ("news", "nothing"):
             freshness.call_succeeded(began, now)
-            model.answered(now)
+            model.succeeded(now)
         elif event == "moved":
             freshness.discovery_address_changed(now)
             model.address_changed(now)
@@ -115,7 +122,7 @@
 
 
 def test_watch_is_continued_in_time_and_never_in_a_tight_loop() -> None:
-    """The users' page: a watch goes on if its next call comes within 200 ms of the answer."""
+    """By the specification, a call within 200 ms of the last response continues its watch."""
     freshness = EndpointFreshness(1, Random(1), 0.0)
     freshness.call_succeeded(0.0, 0.0)
     assert 0.05 <= freshness.next_call.not_before <= 0.15 and freshness.next_call.continues_watch
@@ -124,7 +131,10 @@
 
 
 def test_refused_instances_back_off_with_jitter_and_doubling_delays() -> None:
-    """Discovery spends its time on refused calls too: a crowd that comes back together never ends."""
+    """Guards against an overload of discovery that never ends.
+
+    Discovery spends time on refused calls too, so instances must not retry together.
+    """
     fleet = [EndpointFreshness(210, Random(seed), 0.0) for seed in range(400)]
     spreads = []
     for _ in range(4):
@@ -152,7 +162,10 @@
 def test_discovery_that_is_back_is_called_within_the_time_that_a_list_is_good_for(
     failure: CallFailure, duration: float, instances: int
 ) -> None:
-    """Guards against requests rejected long after discovery is well, by pauses that cheap calls doubled."""
+    """Guards against requests that are rejected long after discovery recovers.
+
+    The cause is backoff that doubles with calls that cost discovery little.
+    """
     recovered_at, delays = 30.0, []
     for seed in range(300):
         freshness, now = EndpointFreshness(instances, Random(seed), 0.0), 0.0
--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint table and the watch that feeds it."""
+"""Tests the watch that feeds the endpoint table."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_exposure.py
+++ b/tests/decisions/test_exposure.py
@@ -1,4 +1,4 @@
-"""The exposure limit."""
+"""Tests the exposure limit of candidates."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_load_balancing.py
+++ b/tests/decisions/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""Load balancing: which of the allowed servers gets an attempt."""
+"""Tests which of the allowed servers gets an attempt."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_outlier_ejection.py
+++ b/tests/decisions/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: failing servers leave rotation and come back."""
+"""Tests that failing servers leave rotation and come back."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_router.py
+++ b/tests/decisions/test_router.py
@@ -1,4 +1,4 @@
-"""The router as a whole: its memory."""
+"""Tests that the memory of the router is bounded."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 
 @pytest.mark.parametrize("one_way", [False, True])
 def test_memory_is_bounded_over_many_releases(one_way: bool) -> None:
-    """Guards against what is kept by build or by key that met one: an instance may live through hundreds."""
+    """Guards against state per build or per served key that grows with each release.
+
+    An instance may run through hundreds of releases.
+    """
     harness = RouterHarness(one_way=one_way, exposure_slack=1e9)
     for build in range(2, 30):
         harness.list_servers({"a0": build - 1, "b0": build})
@@ -40,6 +43,5 @@
     assert (
         len(router.concurrency.by_build) <= 3 and len(router.exposure.windows[""].attempt_times_by_build) <= 3
     )
-    assert len(router.affinity.last_build_by_key) == (
-        28 * 20 if one_way else 20
-    )  # where keys may not go back, each one counts
+    # With one-way keys, the build of each key is kept.
+    assert len(router.affinity.last_build_by_key) == (28 * 20 if one_way else 20)
--- a/tests/decisions/test_router_against_model.py
+++ b/tests/decisions/test_router_against_model.py
@@ -1,4 +1,4 @@
-"""A slow, plain model of the rules runs beside the module on generated inputs; both must agree."""
+"""Compares the router with a slow, simple model of its rules on generated inputs; both must agree."""
 
 from __future__ import annotations
 
@@ -45,20 +45,23 @@
 
 @dataclass
 class AttemptRecord:
-    """One try as the model knows it."""
+    """An attempt as the model records it."""
 
     server_name: str
     sent_at: float
-    build: int  # that it was sent to
+    # The build that the attempt was sent to.
+    build: int
     key: str | None
-    listed_build: int  # the latest of its box while that stayed listed
+    # The last listed build of the server, up to its removal from the list.
+    listed_build: int
     still_listed: bool = True
-    rolled_back: bool = False  # the build was sent back meanwhile
+    # Whether the build has been rolled back since.
+    rolled_back: bool = False
     outcome: Outcome | None = None
 
 
 class Model:
-    """Keeps the whole history and judges each send from scratch."""
+    """Keeps the whole history and evaluates each attempt from it."""
 
     def __init__(self, harness: RouterHarness) -> None:
         self.harness = harness
@@ -119,7 +122,8 @@
                 if record.key == request.key and not record.rolled_back
             }
             if self.last_build_by_key.get(request.key, -1) > build or in_flight - {build}:
-                return False  # two tries at two builds may be answered and arrive in any order
+                # Responses of two builds may arrive in any order.
+                return False
         if build in self.known_releases:
             phase, stage, exposure_limit = self.known_releases[build]
         elif build > max(self.known_releases):
@@ -149,8 +153,11 @@
         return attempt_count + 1 <= self.release_settings.exposure_slack + exposure_limit * accepted_count
 
     def update_release(self, build: int, phase: ReleasePhase, stage: int, exposure_limit: float) -> None:
-        """Two may stand where told; what ended is forgotten when a build is heard of first. One that was
-        taken off stays so."""
+        """Apply a release status.
+
+        The first status of a build drops finished releases, and unfinished ones too unless several candidates
+        are allowed. A build that was rolled back stays so.
+        """
         if build not in self.known_releases:
             if build < max(self.known_releases) and (
                 self.release_settings.concurrent_candidates == 1 or phase is not ReleasePhase.CANDIDATE
@@ -164,7 +171,8 @@
                 if several_candidates and status[0] in unfinished_phases
             }
         elif self.known_releases[build][0] in ROLLBACK_PHASES and phase not in ROLLBACK_PHASES:
-            return  # old news, read late: no build comes back
+            # An old status that was read late: a build that was rolled back does not return.
+            return
         self.known_releases[build] = phase, stage, exposure_limit
         if phase in ROLLBACK_PHASES:
             self.last_build_by_key = {
@@ -174,7 +182,7 @@
                 record.rolled_back = record.rolled_back or record.build == build
 
     def record_end(self, record: AttemptRecord, outcome: Outcome) -> None:
-        """Whether the key met the build; where keys may not go back, also by an answer that was not heard."""
+        """Record a build that served the key; with `one_way`, also if the response did not arrive."""
         record.outcome = outcome
         phases = {phase for phase, _, _ in self.known_releases.values()}
         records_build, build, served = (
@@ -202,7 +210,7 @@
 
 
 class Play:
-    """Feeds the same steps to the module and the model and holds the one against the other."""
+    """Applies the same steps to the router and the model and compares their decisions."""
 
     def __init__(self, **settings_changes: object) -> None:
         self.harness = RouterHarness(**settings_changes)
@@ -211,7 +219,8 @@
         self.seen = 0
         self.umpire = self.harness.router
         self.umpire.allowed = self.checked_against_model(self.umpire.allowed)
-        self.umpire.traffic_split.update = lambda now: None  # `news` sets the shares, so that all are in use
+        # `news` sets the shares, so that all of them are in use.
+        self.umpire.traffic_split.update = lambda now: None
         self.harness.forward = self.on_forward
         self.harness.reject = lambda request, _: self.on_response(request, "shed")
         self.harness.fail = lambda request: self.on_response(request, "error")
@@ -272,7 +281,7 @@
         self.harness.forwarded.append((request.id, record.server_name, 0.0))
         request.attempt_ended(len(request.attempts) - 1, outcome, 0.1, final)
         assert final or request.id in self.model.settled_request_ids or request.attempts_in_flight, (
-            "neither answered nor sent on"
+            "neither a response nor a further attempt"
         )
 
     def disconnect_client(self, index: int) -> None:
@@ -306,6 +315,7 @@
             candidate.hash_end, candidate.traffic_share = hash_range_end, 0.45
 
 
+# Hypothesis derives the examples from the source of this test; renaming a variable in it changes them.
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(
     st.lists(step_strategy, min_size=30, max_size=80),
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what a warming server may get."""
+"""Tests which attempts a warming server may get."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 def test_new_server_gets_no_attempt_when_it_is_listed() -> None:
-    """81 of 172 umpires sent one request each to a server in the moment it was listed, and it fell over."""
+    """Guards against a new server that collapses under one attempt each from many instances.
+
+    81 of 172 instances sent one request each to a server at the moment it was listed, and it collapsed.
+    """
     for seed in range(20):
         harness = released_harness({"a0": 1}, max_attempts=1, instance_count=172, seed=seed)
         send_requests(harness, 10)
--- a/tests/support/decisions.py
+++ b/tests/support/decisions.py
@@ -1,4 +1,4 @@
-"""A host that records what an router asks, and makers of what an router is told."""
+"""A runtime that records the calls of a router, and helpers that feed events to the router."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class RouterHarness:
-    """A router on a runtime that records each attempt, vote and answer; `advance_clock` runs its timers."""
+    """A router with a runtime that records attempts, votes and responses; `advance_clock` runs its timers."""
 
     def __init__(self, **changes: Any) -> None:
         release: dict[str, Any] = {
@@ -137,7 +137,7 @@
     def end_attempt(
         self, request: Request, outcome: Outcome = Outcome.COMPLETED, latency: float = 0.1
     ) -> None:
-        """End the request's newest attempt, if it is in flight."""
+        """End the newest attempt of the request, if any attempt is in flight."""
         if not request.attempts_in_flight:
             return
         number = len(request.attempts) - 1
@@ -154,7 +154,7 @@
 
 
 def candidate_harness(**changes: object) -> RouterHarness:
-    """A candidate that has taken its share of the traffic, beside the baseline."""
+    """Return a harness with a baseline and a candidate whose traffic share has grown for 10 s."""
     harness = RouterHarness(**changes)
     harness.list_servers(BASELINE | CANDIDATE)
     harness.set_release(stage=1, cap=0.5)
@@ -163,7 +163,7 @@
 
 
 def released_harness(servers: dict[str, int] = BASELINE, **changes: object) -> RouterHarness:
-    """One build that was released, and no candidate."""
+    """Return a harness with one released build and no candidate."""
     harness = RouterHarness(**changes)
     harness.list_servers(servers)
     harness.set_release(build=1, phase=ReleasePhase.RELEASED)
@@ -177,7 +177,7 @@
     outcome: Outcome = OK,
     latency: float = 0.1,
 ) -> None:
-    """Accept requests one by one; attempts at servers of that name or zone end badly, the others well."""
+    """Accept requests one by one; attempts at servers with the prefix end with `outcome`, others complete."""
     for _ in range(count):
         request = harness.accept("pay")
         failing = bool(request.attempts) and request.attempts[-1].server.id.startswith(failing_prefix)
@@ -193,7 +193,7 @@
     span: float = 8.0,
     start: float = 0.0,
 ) -> None:
-    """Add samples of a build, spread evenly over the span, with times of one skewed distribution."""
+    """Add evenly spread samples of a build, with latencies from one skewed distribution."""
     draw = random.Random(build).lognormvariate
     times = sorted(
         (harness.clock + start + span * n / count, latency_factor * draw(-2.0, 0.8)) for n in range(count)
@@ -204,12 +204,12 @@
 
 
 def votes_of(harness: RouterHarness) -> set[Vote]:
-    """Return what was voted so far."""
+    """Return the votes cast so far."""
     return {vote for _, _, vote in harness.votes}
 
 
 def one_way_harness(stage: int = 0) -> RouterHarness:
-    """A candidate in a stage for idempotent requests only, with keys that may not go back."""
+    """Return a one-way harness whose candidate gets idempotent requests only in its first stage."""
     harness = RouterHarness(one_way=True, idempotent_only_stages=1, counted_by_route=True, exposure_slack=1e9)
     harness.list_servers(BASELINE | CANDIDATE)
     harness.set_release(stage=stage, cap=0.5)
@@ -218,7 +218,7 @@
 
 
 def key_of_candidate(harness: RouterHarness) -> str:
-    """Return a key that belongs to the candidate."""
+    """Return a key that the traffic split assigns to the candidate."""
     return next(
         f"k{n}"
         for n in range(1000)
@@ -227,5 +227,5 @@
 
 
 def zones_of(harness: RouterHarness, request: Request) -> list[str]:
-    """Return the zones of a request's attempts: `a` is the baseline's, `b` the candidate's."""
+    """Return the zones of the request's attempts; `a` is the zone of the baseline, `b` of the candidate."""
     return [server[0] for name, server, _ in harness.forwarded if name == request.id]
