--- a/gullmount/platform/errors.py
+++ b/gullmount/platform/errors.py
@@ -9,7 +9,7 @@
 
 from gullmount.errors import GullmountError
 
-SHOWN_CHARACTERS = 20  # of a reply that was not expected
+MAX_SHOWN_CHARACTERS = 20  # of a reply that was not expected
 
 
 class InvalidPlatformMessageError(GullmountError):
@@ -36,7 +36,7 @@
     """The text is no release status: build, stage, phase, exposure limit and age."""
 
     def __init__(self, text: str) -> None:
-        super().__init__(f"not a release status: {text[:SHOWN_CHARACTERS]!r}")
+        super().__init__(f"not a release status: {text[:MAX_SHOWN_CHARACTERS]!r}")
         self.text = text
 
 
@@ -52,7 +52,7 @@
     """The release controller sent a line that is no reply here, or one that refuses the vote."""
 
     def __init__(self, reply: str) -> None:
-        super().__init__(f"unexpected reply {reply[:SHOWN_CHARACTERS]!r}")
+        super().__init__(f"unexpected reply {reply[:MAX_SHOWN_CHARACTERS]!r}")
         self.reply = reply
 
 
--- a/gullmount/platform/http_adapter.py
+++ b/gullmount/platform/http_adapter.py
@@ -38,8 +38,8 @@
 LINGER_TIMEOUT_SECONDS = 0.3  # of reading on behind an error
 RESPONSE_MARGIN_SECONDS = 0.012  # before the client's deadline, by which its response leaves
 SERVER_IDLE_MARGIN_SECONDS = 0.5  # before a server may close an idle connection, which is not used any more
-DOWNSTREAM_SOCKET_SHARE = 0.45  # clients need a third for requests; useless connections come on top
-UPSTREAM_SOCKET_SHARE = 0.35  # the rest is for discovery, release controller and the program itself
+DOWNSTREAM_DESCRIPTOR_SHARE = 0.45  # clients need a third for requests; useless connections come on top
+UPSTREAM_DESCRIPTOR_SHARE = 0.35  # the rest is for discovery, release controller and the program itself
 MAX_CONNECTIONS_PER_SERVER = 64
 MAX_TIMEOUT_DIGITS = 9  # of milliseconds: over 11 days
 MAX_REQUEST_ID_CHARACTERS = 64  # the platform's have 16
@@ -53,15 +53,18 @@
 NOT_STARTED_STATUSES = (503, 504)  # with which that header counts
 STATUS_OK = 200
 STATUS_BAD_GATEWAY = 502
-REJECTED = b"shed"
-OUTCOMES = OUTCOME_BY_ATTEMPT_END | {
+REJECTED_DISPOSITION = b"shed"
+PLATFORM_OUTCOME_BY_ATTEMPT_END = OUTCOME_BY_ATTEMPT_END | {
     # A server starts on a request once its last byte has arrived, so a failed write proves that it did not.
     AttemptEnd.WRITE_FAILED: Outcome.CONNECT_FAILED,
     # The attempt ran and the connection is lost; as a reset it counts neither for nor against a build.
     AttemptEnd.MALFORMED_RESPONSE: Outcome.RESET,
     AttemptEnd.RESPONSE_TOO_LARGE: Outcome.RESET,
 }
-METHODS = {RetrySafety.IDEMPOTENT: "GET", RetrySafety.AT_MOST_ONCE: "POST"}  # others may have any method
+REQUIRED_METHODS = {
+    RetrySafety.IDEMPOTENT: "GET",
+    RetrySafety.AT_MOST_ONCE: "POST",
+}  # others may have any method
 
 
 class PlatformAdapter:
@@ -74,7 +77,7 @@
         self,
         settings: InstanceSettings,
         socket_settings: SocketSettings,
-        sockets: int,
+        descriptor_limit: int,
         now: Callable[[], float],
     ) -> None:
         self.settings = settings
@@ -82,8 +85,8 @@
         self.sends_retry_after = settings.max_retry_after > 0
         self.request_ids = RequestIds(now)
         self.addresses: dict[str, str] = {}
-        self.downstream_limits = downstream_limits(sockets)
-        self.upstream_limits = upstream_limits(socket_settings, sockets)
+        self.downstream_limits = downstream_limits(descriptor_limit)
+        self.upstream_limits = upstream_limits(socket_settings, descriptor_limit)
 
     # Clients
 
@@ -122,7 +125,7 @@
         route = self.settings.routes.get(name or "")
         if route is None or head.target.partition("?")[0].split("/")[1:2] != [name]:
             raise ProtocolError(404, "no such route")
-        if METHODS.get(route.retry_safety, head.method) != head.method:
+        if REQUIRED_METHODS.get(route.retry_safety, head.method) != head.method:
             raise ProtocolError(400, "not the method of this route")
         return route
 
@@ -137,13 +140,13 @@
 
     def downstream_headers(self, response: Response) -> Headers:
         """Return the headers that go to the client: none of a server's, only those of a rejection."""
-        return response.headers if response.disposition == REJECTED else []
+        return response.headers if response.disposition == REJECTED_DISPOSITION else []
 
     def rejection_response(self, retry_after: float) -> Response:
         """Return the response of a rejected request; `retry_after` in seconds, 0 for none."""
         sends_retry_after = self.sends_retry_after and retry_after > 0
         headers = [(b"retry-after", b"%.3f" % retry_after)] if sends_retry_after else []
-        return Response(503, headers, b"shed\n", b"Service Unavailable", REJECTED)
+        return Response(503, headers, b"shed\n", b"Service Unavailable", REJECTED_DISPOSITION)
 
     def failure_response(self, status: int) -> Response:
         """Return the response of a request that failed."""
@@ -182,11 +185,11 @@
     def outcome(self, end: AttemptEnd, response: Response | None) -> Outcome:
         """Return what the end of an attempt means by this protocol."""
         if end is not AttemptEnd.RESPONSE_COMPLETE or response is None:
-            return OUTCOMES[end]
+            return PLATFORM_OUTCOME_BY_ATTEMPT_END[end]
         if response.status == STATUS_OK:
             return Outcome.COMPLETED
-        never_began = response.status in NOT_STARTED_STATUSES and NOT_STARTED_HEADER in response.headers
-        return Outcome.OVERLOADED if never_began else Outcome.ERROR
+        not_started = response.status in NOT_STARTED_STATUSES and NOT_STARTED_HEADER in response.headers
+        return Outcome.OVERLOADED if not_started else Outcome.ERROR
 
 
 def read_timeout(head: RequestHead) -> float:
@@ -197,13 +200,13 @@
     return int(text) / MILLISECONDS_PER_SECOND
 
 
-def downstream_limits(sockets: int) -> DownstreamLimits:
+def downstream_limits(descriptor_limit: int) -> DownstreamLimits:
     """Return what is accepted of clients, for that many file descriptors."""
     return DownstreamLimits(
         max_head_bytes=MAX_HEAD_BYTES,
         max_body_bytes=MAX_BODY_BYTES,
         max_buffered_body_bytes=MAX_BODY_BYTES,
-        max_connections=int(sockets * DOWNSTREAM_SOCKET_SHARE),
+        max_connections=int(descriptor_limit * DOWNSTREAM_DESCRIPTOR_SHARE),
         evicts_idle_connections=True,
         first_request_timeout=FIRST_REQUEST_TIMEOUT_SECONDS,
         read_timeout=READ_TIMEOUT_SECONDS,
@@ -213,7 +216,7 @@
     )
 
 
-def upstream_limits(socket_settings: SocketSettings, sockets: int) -> UpstreamLimits:
+def upstream_limits(socket_settings: SocketSettings, descriptor_limit: int) -> UpstreamLimits:
     """Return what is used of servers, for that many file descriptors."""
     server_idle_timeout = socket_settings.connection_idle_timeout
     return UpstreamLimits(
@@ -221,6 +224,6 @@
         idle_timeout=max(server_idle_timeout - SERVER_IDLE_MARGIN_SECONDS, server_idle_timeout / 2),
         reuse_delay=CONNECTION_REUSE_DELAY_SECONDS,
         max_connections_per_server=MAX_CONNECTIONS_PER_SERVER,
-        max_connections=int(sockets * UPSTREAM_SOCKET_SHARE),
+        max_connections=int(descriptor_limit * UPSTREAM_DESCRIPTOR_SHARE),
         max_buffered_response_bytes=MAX_BODY_BYTES,
     )
--- a/gullmount/platform/json_log.py
+++ b/gullmount/platform/json_log.py
@@ -24,25 +24,25 @@
 
     def __init__(self, instance_name: str) -> None:
         self.instance_name = instance_name
-        self.began_at = time.monotonic()
+        self.started_at = time.monotonic()
         self.current_second = 0
-        self.written: Counter[str] = Counter()  # in the current second, by event
-        self.dropped: Counter[str] = Counter()  # since the event's last line
+        self.written_this_second: Counter[str] = Counter()  # in the current second, by event
+        self.dropped_since_last_line: Counter[str] = Counter()  # since the event's last line
 
     def __call__(self, event: str, **fields: Any) -> None:
         """Write one line, or count it as dropped."""
-        up = time.monotonic() - self.began_at
-        if int(up) != self.current_second:
-            self.current_second = int(up)
-            self.written.clear()
-        self.written[event] += 1
-        if self.written[event] > MAX_LINES_PER_SECOND:
-            self.dropped[event] += 1
+        uptime = time.monotonic() - self.started_at
+        if int(uptime) != self.current_second:
+            self.current_second = int(uptime)
+            self.written_this_second.clear()
+        self.written_this_second[event] += 1
+        if self.written_this_second[event] > MAX_LINES_PER_SECOND:
+            self.dropped_since_last_line[event] += 1
             return
-        stamps = {"at": round(time.time(), 4), "up": round(up, 4)}
-        line = {**stamps, "proxy": self.instance_name, "event": event, **fields}
-        if self.dropped[event]:
-            line["dropped_before"] = self.dropped.pop(event)
+        timestamps = {"at": round(time.time(), 4), "up": round(uptime, 4)}
+        line = {**timestamps, "proxy": self.instance_name, "event": event, **fields}
+        if self.dropped_since_last_line[event]:
+            line["dropped_before"] = self.dropped_since_last_line.pop(event)
         self.write(msgspec.json.encode(line))
 
     def write(self, line: bytes) -> None:
--- a/gullmount/platform/release_controller.py
+++ b/gullmount/platform/release_controller.py
@@ -30,13 +30,13 @@
 from gullmount.proxy.runtime import BufferedRuntime
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-SILENCE_TIMEOUT_SECONDS = 3.5  # the service sends a line each second at least
+RECEIVE_TIMEOUT_SECONDS = 3.5  # the service sends a line each second at least
 MIN_BACKOFF_SECONDS = 0.2  # up to twice that by chance; doubles with each attempt that hears nothing
 MAX_BACKOFF_SECONDS = 1.5  # before chance; a status must not be late for longer than a stage lasts
 MAX_CONCURRENT_VOTES = 4  # the service holds 32 connections of an instance
 
 # What a release controller's answer or its connection may end by.
-KNOWN_ERRORS = (InvalidPlatformMessageError, TimeoutError, *STREAM_ERRORS)
+EXPECTED_ERRORS = (InvalidPlatformMessageError, TimeoutError, *STREAM_ERRORS)
 
 
 class ReleaseControllerClient(ServiceWatch):
@@ -47,7 +47,7 @@
         self.runtime = runtime
         self.net = net
         self.vote_timeout = vote_timeout
-        self.vote_slots = anyio.Semaphore(MAX_CONCURRENT_VOTES)
+        self.vote_semaphore = anyio.Semaphore(MAX_CONCURRENT_VOTES)
         self.received_line = False  # whether the connection under way brought a line
 
     def apply_configured_status(self, fields: Mapping[str, Any]) -> None:
@@ -64,9 +64,9 @@
         while True:
             with anyio.CancelScope() as self.watch_scope:
                 try:
-                    with self.runtime.handler_errors.contained("release status", passing=KNOWN_ERRORS):
+                    with self.runtime.handler_errors.contained("release status", passing=EXPECTED_ERRORS):
                         await self.follow_status()
-                except KNOWN_ERRORS as error:
+                except EXPECTED_ERRORS as error:
                     self.runtime.log_event(LogEvent.RELEASE_WATCH_ENDED, reason=describe_error(error))
                 if self.received_line:
                     backoff = MIN_BACKOFF_SECONDS
@@ -82,7 +82,7 @@
             lines = LineReader(stream)
             await stream.send(SUBSCRIBE_LINE)
             while True:
-                line = await self.runtime.stalls.receive_within(SILENCE_TIMEOUT_SECONDS, lines.next_line)
+                line = await self.runtime.stalls.receive_within(RECEIVE_TIMEOUT_SECONDS, lines.next_line)
                 self.handle_line(line)
                 self.received_line = True
         finally:
@@ -103,18 +103,18 @@
         """Cast a vote; the router is told of whatever is no good answer."""
         try:
             with anyio.fail_after(self.vote_timeout):
-                answer = await self.exchange_vote(encode_vote(build, stage, vote))
-            if not answer.startswith(VOTE_ACCEPTED_PREFIX):
-                raise UnexpectedReplyError(answer)
-            with self.runtime.handler_errors.contained("vote's answer", passing=KNOWN_ERRORS):
-                self.apply_status(parse_release_status(answer.removeprefix(VOTE_ACCEPTED_PREFIX)))
-        except KNOWN_ERRORS as error:
+                response = await self.exchange_vote(encode_vote(build, stage, vote))
+            if not response.startswith(VOTE_ACCEPTED_PREFIX):
+                raise UnexpectedReplyError(response)
+            with self.runtime.handler_errors.contained("vote's answer", passing=EXPECTED_ERRORS):
+                self.apply_status(parse_release_status(response.removeprefix(VOTE_ACCEPTED_PREFIX)))
+        except EXPECTED_ERRORS as error:
             self.runtime.log_event(LogEvent.VOTE_FAILED, reason=describe_error(error))
             self.runtime.router.vote_failed(build)
 
     async def exchange_vote(self, line: bytes) -> str:
         """Send a vote on a connection of its own and return the answer's line."""
-        async with self.vote_slots:
+        async with self.vote_semaphore:
             stream = await self.net.connect(self.address)
             try:
                 await stream.send(line)
--- a/gullmount/platform/reporting.py
+++ b/gullmount/platform/reporting.py
@@ -12,7 +12,7 @@
 from gullmount.proxy.runtime import BufferedRuntime
 
 REPORT_INTERVAL_SECONDS = 5.0
-EVENT_LOOP_DELAY_SECONDS = 0.05  # a sixth of a usual objective, which then reads as slowness of servers
+MIN_REPORTED_DELAY_SECONDS = 0.05  # a sixth of a usual objective, which then reads as slowness of servers
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
     def report_event_loop_delay(self) -> None:
         """Log by how much timers were late at most since the last report, where that is noticeable."""
         delay = self.runtime.timers.take_max_delay()
-        if delay > EVENT_LOOP_DELAY_SECONDS:
+        if delay > MIN_REPORTED_DELAY_SECONDS:
             self.runtime.log_event(LogEvent.EVENT_LOOP_DELAYED, max_seconds=round(delay, 3))
 
     def report_counters(self) -> None:
--- a/gullmount/platform/request_ids.py
+++ b/gullmount/platform/request_ids.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-REMEMBERED_SECONDS = 4.0  # at least, in which an id that comes again is known as such
-MAX_RECENT_IDS = 20_000  # in that time, some 2 MB
+MIN_REMEMBERED_SECONDS = 4.0  # at least, in which an id that comes again is known as such
+MAX_IDS_PER_GENERATION = 20_000  # in that time, some 2 MB
 
 
 class RequestIds:
@@ -18,19 +18,26 @@
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
         self.in_flight: set[str] = set()
-        self.recent: set[str] = set()
-        self.previous: set[str] = set()
-        self.generation_began_at = 0.0
+        self.current_ids: set[str] = set()
+        self.previous_ids: set[str] = set()
+        self.generation_started_at = 0.0
 
     def claim(self, request_id: str) -> bool:
         """Return whether the id is new, and note it as in flight if so."""
         now = self.now()
-        if now - self.generation_began_at > REMEMBERED_SECONDS or len(self.recent) > MAX_RECENT_IDS:
-            self.recent, self.previous, self.generation_began_at = set(), self.recent, now
-        if request_id in self.in_flight or request_id in self.recent or request_id in self.previous:
+        if (
+            now - self.generation_started_at > MIN_REMEMBERED_SECONDS
+            or len(self.current_ids) > MAX_IDS_PER_GENERATION
+        ):
+            self.current_ids, self.previous_ids, self.generation_started_at = (
+                set(),
+                self.current_ids,
+                now,
+            )
+        if request_id in self.in_flight or request_id in self.current_ids or request_id in self.previous_ids:
             return False
         self.in_flight.add(request_id)
-        self.recent.add(request_id)
+        self.current_ids.add(request_id)
         return True
 
     def release(self, request_id: str) -> None:
--- a/gullmount/platform/runner.py
+++ b/gullmount/platform/runner.py
@@ -39,8 +39,8 @@
             instance.build(tasks)
             tasks.start_soon(instance.open, tasks)
             reload = ConfigurationReload(instance, os.environ, tasks)
-            async for number in signals:
-                if number != signal.SIGHUP:
+            async for signal_number in signals:
+                if signal_number != signal.SIGHUP:
                     break
                 reload.begin()
             await instance.stop()
--- a/gullmount/platform/vote_gossip.py
+++ b/gullmount/platform/vote_gossip.py
@@ -57,7 +57,9 @@
         peer = self.peer_numbers.get(source)
         if peer is None or len(data) > MAX_DATAGRAM_BYTES:
             return
-        received = decode_peer_vote(data.decode("latin-1"))
-        if received is not None:
+        peer_vote = decode_peer_vote(data.decode("latin-1"))
+        if peer_vote is not None:
             arrived_at = self.runtime.stalls.arrival_time()
-            self.runtime.router.receive_vote(peer, received.build, received.stage, received.vote, arrived_at)
+            self.runtime.router.receive_vote(
+                peer, peer_vote.build, peer_vote.stage, peer_vote.vote, arrived_at
+            )
--- a/tests/platform/test_request_ids.py
+++ b/tests/platform/test_request_ids.py
@@ -5,11 +5,11 @@
 from gullmount.platform.request_ids import RequestIds
 
 
-def test_ids_are_remembered_in_bounded_memory() -> None:
+def test_the_latest_of_many_ids_is_known_and_memory_is_bounded() -> None:
     now = 100.0
-    marks = RequestIds(lambda: now)
+    request_ids = RequestIds(lambda: now)
     for number in range(100_000):
-        assert marks.claim(str(number))
-        marks.in_flight.discard(str(number))
-    assert not marks.claim("99999")
-    assert len(marks.recent) + len(marks.previous) < 50_000 and not marks.in_flight
+        assert request_ids.claim(str(number))
+        request_ids.in_flight.discard(str(number))
+    assert not request_ids.claim("99999")
+    assert len(request_ids.current_ids) + len(request_ids.previous_ids) < 50_000 and not request_ids.in_flight
