--- a/tests/platform/test_descriptor_shortage.py
+++ b/tests/platform/test_descriptor_shortage.py
@@ -9,51 +9,53 @@
 
 from tests.support.platform_world import ProxyProcess, World, configuration, request_bytes, server_answering
 
-CLIENTS = 12
-SERVERS = 4  # one has room for four requests at once
+CLIENT_COUNT = 12
+SERVER_COUNT = 4  # one has room for four requests at once
 SHORTAGE_SECONDS = 0.4
-ANSWERED_WITHIN_SECONDS = 0.5  # once descriptors are back
+RESPONSE_TIMEOUT_SECONDS = 0.5  # once descriptors are back
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-def limit_descriptors(pid: int, limit: int) -> int:
+def set_descriptor_limit(pid: int, limit: int) -> int:
     """Set the limit of a running process; returns the one before."""
-    before, hard = resource.prlimit(pid, resource.RLIMIT_NOFILE)
+    previous_limit, hard = resource.prlimit(pid, resource.RLIMIT_NOFILE)
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (limit, hard))
-    return before
+    return previous_limit
 
 
-def test_connections_that_find_no_descriptor_wait_and_are_answered_once_there_is_one(tmp_path: Path) -> None:
+def test_connections_wait_for_a_free_descriptor_and_then_get_a_response(tmp_path: Path) -> None:
     """Guards against the event loop's way out of EMFILE: it accepts what waits and closes it."""
 
-    async def ask(running: ProxyProcess, number: int) -> bytes:
-        within = SHORTAGE_SECONDS + 2.0
-        return await running.request(request_bytes(f"r{number}", patience="2000"), within)
+    async def send_request(proxy: ProxyProcess, number: int) -> bytes:
+        request_timeout = SHORTAGE_SECONDS + 2.0
+        return await proxy.request(request_bytes(f"r{number}", patience="2000"), request_timeout)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         world = World()
         await world.serve_platform()
-        for number in range(SERVERS):
+        for number in range(SERVER_COUNT):
             await world.add_server(8120 + number, server_answering(OK))
-        known = {"revision": 1, "complete": True, "members": world.members}
-        running = ProxyProcess(tmp_path, configuration(known=known))
-        await running.start()
+        endpoint_list = {"revision": 1, "complete": True, "members": world.members}
+        proxy = ProxyProcess(tmp_path, configuration(known=endpoint_list))
+        await proxy.start()
         try:
             await asyncio.sleep(0.5)
-            assert (await ask(running, 0)).startswith(b"HTTP/1.1 200")
-            pid = running.process.pid
-            before = limit_descriptors(pid, len(os.listdir(f"/proc/{pid}/fd")))
-            waiting = [asyncio.create_task(ask(running, number)) for number in range(1, CLIENTS)]
-            done, _ = await asyncio.wait(waiting, timeout=SHORTAGE_SECONDS)
-            assert all(one.result() for one in done), "one was closed unanswered"
-            limit_descriptors(pid, before)
-            answered, late = await asyncio.wait(waiting, timeout=ANSWERED_WITHIN_SECONDS)
-            assert not late
+            assert (await send_request(proxy, 0)).startswith(b"HTTP/1.1 200")
+            pid = proxy.process.pid
+            previous_limit = set_descriptor_limit(pid, len(os.listdir(f"/proc/{pid}/fd")))
+            request_tasks = [
+                asyncio.create_task(send_request(proxy, number)) for number in range(1, CLIENT_COUNT)
+            ]
+            done, _ = await asyncio.wait(request_tasks, timeout=SHORTAGE_SECONDS)
+            assert all(task.result() for task in done), "one was closed unanswered"
+            set_descriptor_limit(pid, previous_limit)
+            completed, pending = await asyncio.wait(request_tasks, timeout=RESPONSE_TIMEOUT_SECONDS)
+            assert not pending
             # One that got in while no connection to a server could be opened is rejected: an answer too.
-            assert all(one.result().startswith((b"HTTP/1.1 200", b"HTTP/1.1 503")) for one in answered)
-            assert (await ask(running, CLIENTS)).startswith(b"HTTP/1.1 200")
+            assert all(task.result().startswith((b"HTTP/1.1 200", b"HTTP/1.1 503")) for task in completed)
+            assert (await send_request(proxy, CLIENT_COUNT)).startswith(b"HTTP/1.1 200")
         finally:
-            await running.stop()
+            await proxy.stop()
             await world.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/platform/test_errors.py
+++ b/tests/platform/test_errors.py
@@ -39,5 +39,5 @@
         (UnexpectedReplyError("ERR BUSY"), "unexpected reply 'ERR BUSY'"),
     ],
 )
-def test_an_errors_text_says_what_is_wrong(error: GullmountError, text: str) -> None:
+def test_error_text_describes_the_problem(error: GullmountError, text: str) -> None:
     assert str(error) == text and isinstance(error, GullmountError)
--- a/tests/platform/test_fuzz.py
+++ b/tests/platform/test_fuzz.py
@@ -19,11 +19,11 @@
 from tests.support.platform_scene import SERVER, Scene, Script, ServerAnswer, answer_ok, play
 from tests.support.platform_world import HOST, OK, configuration, endpoint_entry, list_answer, request_bytes
 
-quiet = settings(
+few_examples = settings(
     derandomize=True, max_examples=60, deadline=None, database=None,
     suppress_health_check=[HealthCheck.too_slow],
 )  # fmt: skip
-many = settings(quiet, max_examples=300)
+many_examples = settings(few_examples, max_examples=300)
 
 JSON = st.recursive(
     st.one_of(
@@ -34,73 +34,86 @@
         st.floats(),
         st.text(max_size=6),
     ),
-    lambda held: st.lists(held, max_size=3) | st.dictionaries(st.text(max_size=6), held, max_size=3),
+    lambda children: (
+        st.lists(children, max_size=3) | st.dictionaries(st.text(max_size=6), children, max_size=3)
+    ),
     max_leaves=5,
 )
 
 
-def places(held: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    inner = held.items() if isinstance(held, dict) else enumerate(held) if isinstance(held, list) else ()
-    return [path, *(place for key, value in inner for place in places(value, (*path, key)))]
+def list_value_paths(document: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    nested_items = (
+        document.items()
+        if isinstance(document, dict)
+        else enumerate(document)
+        if isinstance(document, list)
+        else ()
+    )
+    return [
+        path,
+        *(inner_path for key, value in nested_items for inner_path in list_value_paths(value, (*path, key))),
+    ]
 
 
-PLACES = places(configuration())[1:]
+VALUE_PATHS = list_value_paths(configuration())[1:]
 
 
-def read_text(text: bytes) -> Any:
+def read_configuration_bytes(text: bytes) -> Any:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_bytes(text)
         return read_configuration({"PROXY_CONFIG": str(path)})
 
 
-def one_plain_line(fault: InvalidConfigurationError) -> bool:
-    return "config.json: " in str(fault) and "\n" not in str(fault)
+def is_single_line_naming_the_file(error: InvalidConfigurationError) -> bool:
+    return "config.json: " in str(error) and "\n" not in str(error)
 
 
-@many
+@many_examples
 @given(st.data())
-def test_any_value_in_any_place_of_the_configuration_is_told_or_taken(data: st.DataObject) -> None:
+def test_changed_configuration_value_is_rejected_at_startup_or_works_with_requests(
+    data: st.DataObject,
+) -> None:
     """Guards against a setting that is only found unfit once requests come, by an exception in the module."""
-    made = json.loads(json.dumps(configuration()))
-    place = data.draw(st.sampled_from(PLACES))
-    around = made
-    for key in place[:-1]:
-        around = around[key]
+    changed_configuration = json.loads(json.dumps(configuration()))
+    value_path = data.draw(st.sampled_from(VALUE_PATHS))
+    parent = changed_configuration
+    for key in value_path[:-1]:
+        parent = parent[key]
     if data.draw(st.booleans()):
-        around[place[-1]] = data.draw(JSON)
+        parent[value_path[-1]] = data.draw(JSON)
     else:
-        del around[place[-1]]
+        del parent[value_path[-1]]
     try:
-        start = read_text(json.dumps(made).encode())
-    except InvalidConfigurationError as fault:
-        assert one_plain_line(fault)
+        parsed = read_configuration_bytes(json.dumps(changed_configuration).encode())
+    except InvalidConfigurationError as error:
+        assert is_single_line_naming_the_file(error)
         return
     harness = RouterHarness()
-    harness.router = router = Router(harness, start.instance)
+    harness.router = router = Router(harness, parsed.instance)
     harness.list_servers({"a1": 41, "b1": 42}, started_at=harness.now())
     harness.set_release(build=42)
     harness.advance_clock(0.5)
-    for route in start.instance.routes:
+    for route in parsed.instance.routes:
         request = router.accept(
-            f"id-{route}", route, harness.now() + start.sockets.route_timeouts[route], "key"
+            f"id-{route}", route, harness.now() + parsed.sockets.route_timeouts[route], "key"
         )
         harness.end_attempt(request)
     harness.advance_clock(0.5)
 
 
-@many
+@many_examples
 @given(st.binary(max_size=60) | st.sampled_from([b"[" * 9999, b'{"a":' * 9999, b"null", b"\xff{}"]))
-def test_any_bytes_for_a_configuration_end_in_one_plain_line(text: bytes) -> None:
-    with pytest.raises(InvalidConfigurationError) as fault:
-        read_text(text)
-    assert one_plain_line(fault.value)
+def test_arbitrary_configuration_bytes_raise_a_single_line_error(text: bytes) -> None:
+    with pytest.raises(InvalidConfigurationError) as error:
+        read_configuration_bytes(text)
+    assert is_single_line_naming_the_file(error.value)
 
 
 # What is written on connections
 
 FULL_LIST = json.dumps({"revision": 2, "complete": True, "members": [endpoint_entry("s-1", SERVER)]}).encode()
-LISTS = st.one_of(
+DISCOVERY_RESPONSES = st.one_of(
     st.binary(max_size=40),
     st.sampled_from([
         b"HTTP/1.1 200 OK\r\n\r\n", b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
@@ -122,7 +135,7 @@
         ),
     ),
 )  # fmt: skip
-LINES = st.one_of(
+RELEASE_CONTROLLER_LINES = st.one_of(
     st.binary(max_size=40),
     st.sampled_from([
         b"OK\r\n", b"*\r\n", b"* progress 41 2 COMPLETE 1.0 9000\r\n", b"* progress 41\r\n", b"x" * 9000,
@@ -130,14 +143,14 @@
         b"OK 42 0 IN_PROGRESS 0.05 1\r\n", b"ERR BUSY\r\n", b"* progress 42 0 ROLLED_BACK 0 1\r\n", b"\r\n",
     ]),
 )  # fmt: skip
-HEADS = st.sampled_from([
+REQUEST_PIECES = st.sampled_from([
     b"GET /load-item HTTP/1.1\r\n", b"POST /submit-exam HTTP/1.1\r\n", b"GET /healthz HTTP/1.1\r\n",
     b"Host: x\r\n", b"Request-Class: load-item\r\n", b"Request-Class: submit-exam\r\n", b"Request-Id: f1\r\n",
     b"Request-Timeout-Ms: 500\r\n", b"Request-Timeout-Ms: -1\r\n", b"Content-Length: 3\r\n",
     b"Content-Length: 99999999999999999999\r\n", b"Transfer-Encoding: chunked\r\n", b"\r\n", b"abc",
     b"3\r\nabc\r\n0\r\n\r\n", request_bytes("f2"), request_bytes("f3", "submit-exam", body=b"body"),
 ])  # fmt: skip
-ANSWERS = st.sampled_from([
+RESPONSE_PIECES = st.sampled_from([
     OK, OK[:-1], OK[:20], b"HTTP/1.1 200 OK\r\n", b"\r\n", b"Content-Length: 2\r\n",
     b"Content-Length: -2\r\n", b"Transfer-Encoding: chunked\r\n", b"2\r\nok\r\n0\r\n\r\n",
     b"HTTP/1.1 101 Switching\r\n\r\n", b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n",
@@ -145,7 +158,7 @@
 ])  # fmt: skip
 
 
-def writing(pieces: list[bytes], closes: bool) -> Script:
+def make_writing_script(pieces: list[bytes], closes: bool) -> Script:
     async def script(stream: Stream) -> None:
         try:
             for piece in pieces:
@@ -162,9 +175,11 @@
     return script
 
 
-def scene(around: dict[int, Script], answers: ServerAnswer = answer_ok, data: bytes = b"") -> list[bytes]:
+def run_scenario(
+    peer_scripts: dict[int, Script], respond: ServerAnswer = answer_ok, data: bytes = b""
+) -> list[bytes]:
     """What a client got that wrote `data`; whatever it was, the next one is served."""
-    got: list[bytes] = []
+    received: list[bytes] = []
 
     async def act(scene: Scene) -> None:
         await anyio.sleep(1)
@@ -174,77 +189,84 @@
                 await stream.send(data)
                 with anyio.move_on_after(6):
                     while True:
-                        got.append(await stream.receive())
+                        received.append(await stream.receive())
             except STREAM_ERRORS:
                 pass
             await stream.aclose()
         await anyio.sleep(3)
         instance = scene.instance
         assert not instance.runtime.exchanges and not instance.adapter.request_ids.in_flight
-        last = await scene.request(request_bytes("last", "submit-exam", body=b"x"))
-        assert last.startswith(b"HTTP/1.1 "), last
-        got.append(last)
+        last_response = await scene.request(request_bytes("last", "submit-exam", body=b"x"))
+        assert last_response.startswith(b"HTTP/1.1 "), last_response
+        received.append(last_response)
 
     with tempfile.TemporaryDirectory() as folder:
-        play(Path(folder), answers, act, around)
-    return got
+        play(Path(folder), respond, act, peer_scripts)
+    return received
 
 
-@quiet
-@given(LISTS, st.booleans())
-def test_a_list_that_cannot_be_read_changes_nothing(written: bytes, closes: bool) -> None:
+@few_examples
+@given(DISCOVERY_RESPONSES, st.booleans())
+def test_invalid_endpoint_list_leaves_the_known_server_in_use(discovery_bytes: bytes, closes: bool) -> None:
     """Guards against a spoilt list that leaves a proxy without servers, or ends it: the server stays in use
     for as long as the list that was whole a moment ago may be."""
-    calls: list[bytes] = []
+    received_calls: list[bytes] = []
 
     async def discovery(stream: Stream) -> None:
-        calls.append(await stream.receive())
-        if len(calls) == 1:
+        received_calls.append(await stream.receive())
+        if len(received_calls) == 1:
             await stream.send(list_answer(1, []))
             await stream.receive()
-        await writing([written], closes)(stream)
+        await make_writing_script([discovery_bytes], closes)(stream)
 
-    assert scene({8101: discovery})[-1].endswith(b"\r\n\r\nok")
+    assert run_scenario({8101: discovery})[-1].endswith(b"\r\n\r\nok")
 
 
-@quiet
-@given(LISTS, st.booleans())
-def test_a_first_list_that_cannot_be_read_leaves_requests_an_answer(written: bytes, closes: bool) -> None:
+@few_examples
+@given(DISCOVERY_RESPONSES, st.booleans())
+def test_requests_get_a_response_if_the_first_endpoint_list_is_invalid(
+    discovery_bytes: bytes, closes: bool
+) -> None:
     """Nothing was known to be whole: requests are served by a list that came after all, or turned away."""
-    last = scene({8101: writing([written], closes)})[-1]
-    assert last.endswith(b"\r\n\r\nok") or last.startswith(b"HTTP/1.1 503")
+    last_response = run_scenario({8101: make_writing_script([discovery_bytes], closes)})[-1]
+    assert last_response.endswith(b"\r\n\r\nok") or last_response.startswith(b"HTTP/1.1 503")
 
 
-@quiet
-@given(st.lists(LINES, max_size=4), st.booleans())
-def test_what_the_release_controller_writes_ends_its_connection_at_most(
+@few_examples
+@given(st.lists(RELEASE_CONTROLLER_LINES, max_size=4), st.booleans())
+def test_arbitrary_release_controller_lines_do_not_stop_request_handling(
     pieces: list[bytes], closes: bool
 ) -> None:
-    assert scene({8102: writing(pieces, closes)})[-1].endswith(b"\r\n\r\nok")
+    assert run_scenario({8102: make_writing_script(pieces, closes)})[-1].endswith(b"\r\n\r\nok")
 
 
-@many
-@given(st.lists(HEADS | st.binary(max_size=8), min_size=1, max_size=9))
-def test_client_bytes_end_in_answers_or_a_close(pieces: list[bytes]) -> None:
+@many_examples
+@given(st.lists(REQUEST_PIECES | st.binary(max_size=8), min_size=1, max_size=9))
+def test_arbitrary_client_bytes_get_valid_responses_or_a_close(pieces: list[bytes]) -> None:
     """No answer that is none, and none but a server's own body with 200; the next client is served."""
-    *got, last = scene({}, data=b"".join(pieces))
-    assert last.endswith(b"\r\n\r\nok")
-    text = b"".join(got)
-    for answer in text.split(b"HTTP/1.1 ")[1:]:
-        assert answer[:3].isdigit() and 100 <= int(answer[:3]) < 600
-        assert int(answer[:3]) != 200 or answer.endswith((b"\r\n\r\nok", b"\r\n\r\nok\n", b"\r\n\r\n"))
+    *received, last_response = run_scenario({}, data=b"".join(pieces))
+    assert last_response.endswith(b"\r\n\r\nok")
+    text = b"".join(received)
+    for client_response in text.split(b"HTTP/1.1 ")[1:]:
+        assert client_response[:3].isdigit() and 100 <= int(client_response[:3]) < 600
+        assert int(client_response[:3]) != 200 or client_response.endswith(
+            (b"\r\n\r\nok", b"\r\n\r\nok\n", b"\r\n\r\n")
+        )
 
 
-NINE = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
-PIECES = st.lists(ANSWERS | st.binary(max_size=8), max_size=6)
+NINE_BYTE_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
+RESPONSE_PIECE_LISTS = st.lists(RESPONSE_PIECES | st.binary(max_size=8), max_size=6)
 
 
-@many
-@given(PIECES | PIECES.map(lambda pieces: [NINE, *pieces]), st.booleans())
-def test_server_bytes_end_in_one_answer_and_never_in_a_malformed_one(
+@many_examples
+@given(
+    RESPONSE_PIECE_LISTS | RESPONSE_PIECE_LISTS.map(lambda pieces: [NINE_BYTE_RESPONSE_HEAD, *pieces]),
+    st.booleans(),
+)
+def test_arbitrary_server_bytes_give_the_client_exactly_one_well_formed_response(
     pieces: list[bytes], closes: bool
 ) -> None:
-    async def answers(stream: Stream, data: bytes) -> None:
+    async def respond(stream: Stream, data: bytes) -> None:
         if b"last" in data:
             await stream.send(OK)
             return
@@ -253,13 +275,13 @@
         if closes:
             await stream.aclose()
 
-    got, _ = scene({}, answers, request_bytes("f1", "submit-exam", body=b"x"))
-    written = b"".join(pieces)
-    head = got.partition(b"\r\n\r\n")[0]
-    told = int(head.rpartition(b"content-length: ")[2].split()[0])
-    assert got.startswith(b"HTTP/1.1 ") and len(got) == len(head) + 4 + told
-    if b" 200 " in got[:13]:
-        assert b"200 OK" in written
-    if written.startswith(NINE):
-        body = written.removeprefix(NINE)
-        assert got.endswith(b"\r\n\r\n" + body[:9]) if len(body) >= 9 else b" 50" in got[:13]
+    received, _ = run_scenario({}, respond, request_bytes("f1", "submit-exam", body=b"x"))
+    server_bytes = b"".join(pieces)
+    head = received.partition(b"\r\n\r\n")[0]
+    content_length = int(head.rpartition(b"content-length: ")[2].split()[0])
+    assert received.startswith(b"HTTP/1.1 ") and len(received) == len(head) + 4 + content_length
+    if b" 200 " in received[:13]:
+        assert b"200 OK" in server_bytes
+    if server_bytes.startswith(NINE_BYTE_RESPONSE_HEAD):
+        body = server_bytes.removeprefix(NINE_BYTE_RESPONSE_HEAD)
+        assert received.endswith(b"\r\n\r\n" + body[:9]) if len(body) >= 9 else b" 50" in received[:13]
--- a/tests/platform/test_http_adapter.py
+++ b/tests/platform/test_http_adapter.py
@@ -18,49 +18,51 @@
 )
 
 
-def made_entrance(folder: Path) -> PlatformAdapter:
+def make_adapter(folder: Path) -> PlatformAdapter:
     path = folder / "config.json"
     path.write_text(json.dumps(configuration()))
-    start = read_configuration({"PROXY_CONFIG": str(path)})
-    assert start.instance.routes["submit-exam"].retry_safety is RetrySafety.AT_MOST_ONCE
-    return PlatformAdapter(start.instance, start.sockets, 256, lambda: 0.0)
+    parsed = read_configuration({"PROXY_CONFIG": str(path)})
+    assert parsed.instance.routes["submit-exam"].retry_safety is RetrySafety.AT_MOST_ONCE
+    return PlatformAdapter(parsed.instance, parsed.sockets, 256, lambda: 0.0)
 
 
 @pytest.mark.parametrize(
-    "ending", [AttemptEnd.WRITE_FAILED, AttemptEnd.CONNECT_TIMEOUT, AttemptEnd.CONNECT_REFUSED]
+    "attempt_end", [AttemptEnd.WRITE_FAILED, AttemptEnd.CONNECT_TIMEOUT, AttemptEnd.CONNECT_REFUSED]
 )
-def test_never_ran_only_where_the_protocol_says_so(ending: AttemptEnd, tmp_path: Path) -> None:
-    entrance = made_entrance(tmp_path)
-    assert entrance.outcome(ending, None) is Outcome.CONNECT_FAILED
-    assert entrance.outcome(AttemptEnd.CLOSED_BEFORE_RESPONSE, None) is Outcome.RESET
-    assert entrance.outcome(AttemptEnd.MALFORMED_RESPONSE, None) is Outcome.RESET
-    assert entrance.outcome(AttemptEnd.DEADLINE_BEFORE_RESPONSE, None) is Outcome.TIMEOUT
+def test_outcome_is_not_started_only_where_the_protocol_proves_it(
+    attempt_end: AttemptEnd, tmp_path: Path
+) -> None:
+    adapter = make_adapter(tmp_path)
+    assert adapter.outcome(attempt_end, None) is Outcome.CONNECT_FAILED
+    assert adapter.outcome(AttemptEnd.CLOSED_BEFORE_RESPONSE, None) is Outcome.RESET
+    assert adapter.outcome(AttemptEnd.MALFORMED_RESPONSE, None) is Outcome.RESET
+    assert adapter.outcome(AttemptEnd.DEADLINE_BEFORE_RESPONSE, None) is Outcome.TIMEOUT
     assert (
-        entrance.outcome(AttemptEnd.RESPONSE_COMPLETE, Response(504, [(b"not-started", b"1")], b""))
+        adapter.outcome(AttemptEnd.RESPONSE_COMPLETE, Response(504, [(b"not-started", b"1")], b""))
         is Outcome.OVERLOADED
     )
     assert (
-        entrance.outcome(AttemptEnd.RESPONSE_COMPLETE, Response(500, [(b"not-started", b"1")], b""))
+        adapter.outcome(AttemptEnd.RESPONSE_COMPLETE, Response(500, [(b"not-started", b"1")], b""))
         is Outcome.ERROR
     )
-    assert entrance.outcome(AttemptEnd.RESPONSE_COMPLETE, Response(204, [], b"")) is Outcome.ERROR
+    assert adapter.outcome(AttemptEnd.RESPONSE_COMPLETE, Response(204, [], b"")) is Outcome.ERROR
 
 
-def test_parts_of_the_descriptors_leave_room_for_the_program(tmp_path: Path) -> None:
+def test_connection_limits_leave_descriptors_for_the_process_itself(tmp_path: Path) -> None:
     """Discovery, control, votes, datagrams, signals and connections whose close is under way take some 30."""
-    entrance = made_entrance(tmp_path)
-    assert entrance.downstream_limits.max_connections + entrance.upstream_limits.max_connections <= 256 - 40
-    assert entrance.downstream_limits.max_connections > 256 / 3
+    adapter = make_adapter(tmp_path)
+    assert adapter.downstream_limits.max_connections + adapter.upstream_limits.max_connections <= 256 - 40
+    assert adapter.downstream_limits.max_connections > 256 / 3
 
 
-def test_request_metadata_say_what_the_head_says(tmp_path: Path) -> None:
-    entrance = made_entrance(tmp_path)
-    fields = [(b"request-id", b"a1"), (b"request-class", b"load-item"), (b"request-timeout-ms", b"900")]
-    made = entrance.request_metadata(RequestHead(b"GET", b"/load-item?x=1", fields))
-    assert (made.route, made.client_request_id, made.affinity_key) == (
+def test_request_metadata_come_from_the_head_and_need_a_timeout(tmp_path: Path) -> None:
+    adapter = make_adapter(tmp_path)
+    headers = [(b"request-id", b"a1"), (b"request-class", b"load-item"), (b"request-timeout-ms", b"900")]
+    metadata = adapter.request_metadata(RequestHead(b"GET", b"/load-item?x=1", headers))
+    assert (metadata.route, metadata.client_request_id, metadata.affinity_key) == (
         "load-item",
         "a1",
         None,
-    ) and 0.85 < made.timeout < 0.9
+    ) and 0.85 < metadata.timeout < 0.9
     with pytest.raises(ProtocolError):
-        entrance.request_metadata(RequestHead(b"GET", b"/load-item", fields[:2]))
+        adapter.request_metadata(RequestHead(b"GET", b"/load-item", headers[:2]))
--- a/tests/platform/test_json_log.py
+++ b/tests/platform/test_json_log.py
@@ -10,20 +10,22 @@
 from gullmount.platform.log_events import LogEvent
 
 
-def test_event_names_are_snake_case_and_distinct() -> None:
+def test_event_values_are_distinct_and_are_the_lower_case_names() -> None:
     names = [event.value for event in LogEvent]
     assert len(set(names)) == len(names)
     assert all(event.value == event.name.lower() for event in LogEvent)
 
 
-def test_a_line_has_time_instance_event_and_fields(capsysbinary: pytest.CaptureFixture[bytes]) -> None:
+def test_log_line_has_timestamps_instance_event_and_fields(
+    capsysbinary: pytest.CaptureFixture[bytes],
+) -> None:
     JsonLog("n0")(LogEvent.LISTENING, address="127.0.0.1:1")
     line = json.loads(capsysbinary.readouterr().err)
     assert line.pop("at") > 0 and line.pop("up") >= 0
     assert line == {"proxy": "n0", "event": "listening", "address": "127.0.0.1:1"}
 
 
-def test_a_flood_of_one_event_is_counted_and_hides_no_other(
+def test_excess_lines_of_one_event_are_counted_and_other_events_are_still_logged(
     capsysbinary: pytest.CaptureFixture[bytes], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     now = 100.0
--- a/tests/platform/test_pauses.py
+++ b/tests/platform/test_pauses.py
@@ -5,53 +5,63 @@
 import pytest
 
 from tests.support.pause_sweep import (
-    LIMIT,
-    SPARE,
+    EXPOSURE_LIMIT,
+    SPARE_ATTEMPTS,
     ClientRequest,
     Observations,
-    SeenAttempt,
-    check,
-    check_after_close,
+    ObservedAttempt,
+    check_attempts_after_close,
     check_exposure,
-    check_told,
-    play,
+    check_server_timeouts,
+    find_violations,
+    run_seed,
 )
 
-SECONDS = 10.0  # s in which pauses begin
-PAUSES = (0.6, 3.0)
+RUN_SECONDS = 10.0  # s in which pauses begin
+PAUSE_SECONDS = (0.6, 3.0)
 
 
 @pytest.mark.parametrize(("program", "seed"), [("run", 3), ("run", 6), ("proxy", 1)])
 def test_pauses_of_the_process_break_no_rule(program: str, seed: int) -> None:
     """Guards against requests that were read after a pause and taken for new: their clients had left."""
-    made = play(seed, SECONDS, PAUSES, program)
-    breaches = check(made)
-    assert not breaches and made.pauses, breaches
-    assert made.seen.statuses["200"] > 0
+    observations = run_seed(seed, RUN_SECONDS, PAUSE_SECONDS, program)
+    all_violations = find_violations(observations)
+    assert not all_violations and observations.pauses, all_violations
+    assert observations.traffic.statuses["200"] > 0
 
 
-def observed(attempt_at: float, told: float, closed_at: float | None = None) -> Observations:
-    made = Observations(requests={"a": ClientRequest(10.0, 0.5, closed_at)})
-    made.attempts = [SeenAttempt(attempt_at, "s-1", "a", told)]
-    return made
+def observe_one_attempt(
+    attempt_at: float, server_timeout: float, closed_at: float | None = None
+) -> Observations:
+    observations = Observations(requests={"a": ClientRequest(10.0, 0.5, closed_at)})
+    observations.attempts = [ObservedAttempt(attempt_at, "s-1", "a", server_timeout)]
+    return observations
 
 
-def test_checker_finds_an_attempt_after_its_clients_close() -> None:
-    assert check_after_close(observed(10.7, 0.1, 10.5)) == ["lost: 1 attempts up to 0.20 s after the close"]
-    assert not check_after_close(observed(10.55, 0.1, 10.5)) and not check_after_close(observed(20, 0.1))
+def test_check_attempts_after_close_finds_an_attempt_after_the_client_closed() -> None:
+    assert check_attempts_after_close(observe_one_attempt(10.7, 0.1, 10.5)) == [
+        "lost: 1 attempts up to 0.20 s after the close"
+    ]
+    assert not check_attempts_after_close(
+        observe_one_attempt(10.55, 0.1, 10.5)
+    ) and not check_attempts_after_close(observe_one_attempt(20, 0.1))
 
 
-def test_checker_finds_a_server_that_is_told_of_too_much_time() -> None:
-    assert check_told(observed(10.4, 0.5)) == ["told: 1 attempts of up to 0.40 s too much"]
-    assert not check_told(observed(10.4, 0.1))
+def test_check_server_timeouts_finds_a_server_that_got_too_long_a_timeout() -> None:
+    assert check_server_timeouts(observe_one_attempt(10.4, 0.5)) == [
+        "told: 1 attempts of up to 0.40 s too much"
+    ]
+    assert not check_server_timeouts(observe_one_attempt(10.4, 0.1))
 
 
-def test_checker_finds_attempts_at_a_candidate_over_its_limit() -> None:
-    made = Observations(candidates={"s-1"})
-    made.requests = {f"r{number}": ClientRequest(10.0 + number / 10, 0.5) for number in range(20)}
-    made.attempts = [SeenAttempt(12.0, "s-1", "r0", 0.1) for _ in range(int(SPARE + LIMIT * 20))]
-    assert not check_exposure(made)
-    made.attempts.append(SeenAttempt(12.1, "s-1", "r1", 0.1))
-    assert check_exposure(made) == ["exposure: 0.88 attempts too many"]
-    made.attempts[-1].at = 12.0 + 3.2
-    assert check_exposure(made) == []
+def test_check_exposure_finds_attempts_over_the_limit_of_a_candidate() -> None:
+    observations = Observations(candidates={"s-1"})
+    observations.requests = {f"r{number}": ClientRequest(10.0 + number / 10, 0.5) for number in range(20)}
+    observations.attempts = [
+        ObservedAttempt(12.0, "s-1", "r0", 0.1) for _ in range(int(SPARE_ATTEMPTS + EXPOSURE_LIMIT * 20))
+    ]
+    assert not check_exposure(observations)
+    observations.attempts.append(ObservedAttempt(12.1, "s-1", "r1", 0.1))
+    assert check_exposure(observations) == ["exposure: 0.88 attempts too many"]
+    observations.attempts[-1].at = 12.0 + 3.2
+    assert check_exposure(observations) == []
--- a/tests/support/pause_sweep.py
+++ b/tests/support/pause_sweep.py
@@ -44,18 +44,18 @@
     request_bytes,
 )
 from tests.support.proxy_edge import make_proxy_config
-from tests.support.soak import Change, Seen, check_drains, check_repeats
+from tests.support.soak import Drain, ObservedTraffic, check_drains, check_unsafe_requests
 
-LOST_AFTER_SECONDS = 0.1  # from a client's close to an attempt that begins, as the page has it
-NOTICE_SLACK_SECONDS = 0.03  # of our notes of a client's close and of what reached a server
-TOLD_SLACK_SECONDS = 0.1  # of the time that a server is told, its way to the server included
-PATIENCE_SECONDS = (0.3, 1.1)  # of clients
+CLOSE_REACTION_SECONDS = 0.1  # from a client's close to an attempt that begins, as the page has it
+OBSERVATION_SLACK_SECONDS = 0.03  # of our notes of a client's close and of what reached a server
+TIMEOUT_SLACK_SECONDS = 0.1  # of the time that a server is told, its way to the server included
+CLIENT_TIMEOUT_SECONDS = (0.3, 1.1)  # of clients
 PAUSE_SECONDS = (0.05, 0.15, 0.3, 0.6, 1.0, 2.0, 3.0, 6.0)
-CLIENTS, CROWD = 20, 60
-SERVERS = 4
+CLIENT_COUNT, CROWD_CLIENT_COUNT = 20, 60
+SERVER_COUNT = 4
 FIRST_PORT = 8300
-BUILD, CANDIDATE = 41, 42
-LIMIT, WINDOW_SECONDS, SPARE = 0.056, 3.0, 2.0
+BASELINE_BUILD, CANDIDATE_BUILD = 41, 42
+EXPOSURE_LIMIT, WINDOW_SECONDS, SPARE_ATTEMPTS = 0.056, 3.0, 2.0
 WINDOW_SLACK_SECONDS = 0.06  # between a request's sending and our note of it, and likewise of an attempt
 
 
@@ -64,69 +64,80 @@
     """A request with the times at which its client sent it, and gave it up."""
 
     sent_at: float
-    patience: float
+    client_timeout: float
     closed_at: float | None = None
 
 
 @dataclass
-class SeenAttempt:
+class ObservedAttempt:
     """An attempt as a server saw it; `told_seconds` that it may take."""
 
     at: float
     server: str
     request: str
-    told_seconds: float
+    server_timeout: float
 
 
 @dataclass
 class Observations:
     """What the outside saw."""
 
-    seen: Seen = field(default_factory=Seen)
+    traffic: ObservedTraffic = field(default_factory=ObservedTraffic)
     requests: dict[str, ClientRequest] = field(default_factory=dict)
-    attempts: list[SeenAttempt] = field(default_factory=list)
+    attempts: list[ObservedAttempt] = field(default_factory=list)
     candidates: set[str] = field(default_factory=set)
     pauses: list[float] = field(default_factory=list)
 
 
-def check_after_close(made: Observations) -> list[str]:
+def check_attempts_after_close(observations: Observations) -> list[str]:
     """Attempts that began after their client had closed."""
-    late = []
-    for attempt in made.attempts:
-        closed = made.requests[attempt.request].closed_at
-        if closed is not None and attempt.at > closed + LOST_AFTER_SECONDS + NOTICE_SLACK_SECONDS:
-            late.append(attempt.at - closed)
-    return [f"lost: {len(late)} attempts up to {max(late):.2f} s after the close"] if late else []
+    delays = []
+    for attempt in observations.attempts:
+        closed = observations.requests[attempt.request].closed_at
+        if closed is not None and attempt.at > closed + CLOSE_REACTION_SECONDS + OBSERVATION_SLACK_SECONDS:
+            delays.append(attempt.at - closed)
+    return [f"lost: {len(delays)} attempts up to {max(delays):.2f} s after the close"] if delays else []
 
 
-def check_told(made: Observations) -> list[str]:
+def check_server_timeouts(observations: Observations) -> list[str]:
     """Attempts whose server was told of more time than their clients had."""
-    over = []
-    for attempt in made.attempts:
-        request = made.requests[attempt.request]
-        left = request.sent_at + request.patience - attempt.at
-        if attempt.told_seconds > max(0.0, left) + TOLD_SLACK_SECONDS:
-            over.append(attempt.told_seconds - left)
-    return [f"told: {len(over)} attempts of up to {max(over):.2f} s too much"] if over else []
+    excesses = []
+    for attempt in observations.attempts:
+        request = observations.requests[attempt.request]
+        remaining = request.sent_at + request.client_timeout - attempt.at
+        if attempt.server_timeout > max(0.0, remaining) + TIMEOUT_SLACK_SECONDS:
+            excesses.append(attempt.server_timeout - remaining)
+    return [f"told: {len(excesses)} attempts of up to {max(excesses):.2f} s too much"] if excesses else []
 
 
-def check_exposure(made: Observations) -> list[str]:
+def check_exposure(observations: Observations) -> list[str]:
     """Windows in which a build on trial got more attempts than its limit allows."""
-    sent = sorted(request.sent_at for request in made.requests.values())
-    attempts = sorted(one.at for one in made.attempts if one.server in made.candidates)
-    worst = 0.0
+    sent = sorted(request.sent_at for request in observations.requests.values())
+    attempts = sorted(
+        observed.at for observed in observations.attempts if observed.server in observations.candidates
+    )
+    max_excess = 0.0
     for number, at in enumerate(attempts):
-        since = at - WINDOW_SECONDS
-        count = number + 1 - bisect_left(attempts, since + WINDOW_SLACK_SECONDS)
-        requests = bisect_right(sent, at) - bisect_left(sent, since - WINDOW_SLACK_SECONDS)
-        worst = max(worst, count - (SPARE + LIMIT * requests))
-    return [f"exposure: {worst:.2f} attempts too many"] if worst > 0 else []
+        window_start = at - WINDOW_SECONDS
+        attempt_count = number + 1 - bisect_left(attempts, window_start + WINDOW_SLACK_SECONDS)
+        request_total = bisect_right(sent, at) - bisect_left(sent, window_start - WINDOW_SLACK_SECONDS)
+        max_excess = max(max_excess, attempt_count - (SPARE_ATTEMPTS + EXPOSURE_LIMIT * request_total))
+    return [f"exposure: {max_excess:.2f} attempts too many"] if max_excess > 0 else []
 
 
-def check(made: Observations) -> list[str]:
+def find_violations(observations: Observations) -> list[str]:
     """All breaches, in words."""
-    rules = check_after_close(made) + check_told(made) + check_exposure(made)
-    return rules + check_drains(made.seen) + check_repeats(made.seen) + made.seen.broken
+    timing_violations = (
+        check_attempts_after_close(observations)
+        + check_server_timeouts(observations)
+        + check_exposure(observations)
+    )
+    return (
+        timing_violations
+        + check_drains(observations.traffic)
+        + check_unsafe_requests(observations.traffic)
+        + observations.traffic.violations
+    )
 
 
 class PauseSweep:
@@ -137,83 +148,87 @@
         self.pause_random = Random(f"pauses {seed}")
         self.seconds = seconds
         self.pauses = pauses
-        self.crowd = self.random.random() < 0.3
-        self.made = Observations()
+        self.crowded = self.random.random() < 0.3
+        self.observations = Observations()
         self.world = World()
-        self.over = False
-        self.number = 0
+        self.stopping = False
+        self.request_count = 0
 
     # Doubles
 
-    def server(self, name: str) -> Any:
+    def server(self, server_id: str) -> Any:
         async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_message(reader)
-                waited = seconds_since_data(writer.get_extra_info("socket").fileno())
-                now = time.monotonic() - (waited or 0.0)  # this process may be late on a busy machine
+                seconds_waited = seconds_since_data(writer.get_extra_info("socket").fileno())
+                now = time.monotonic() - (seconds_waited or 0.0)  # this process may be late on a busy machine
                 request = re.findall(rb"(?i)request-id: (\S+)", head)[0].decode()
-                told = self.told_seconds(head)
-                self.made.attempts.append(SeenAttempt(now, name, request, told))
-                self.made.seen.sends.append((now, name, request))
+                attempt_timeout = self.parse_server_timeout(head)
+                self.observations.attempts.append(ObservedAttempt(now, server_id, request, attempt_timeout))
+                self.observations.traffic.sends.append((now, server_id, request))
                 await asyncio.sleep(self.random.choice((0.0, 0.0, 0.02, 0.2)))
                 writer.write(OK)
 
         return script
 
-    def told_seconds(self, head: bytes) -> float:
+    def parse_server_timeout(self, head: bytes) -> float:
         return int(re.findall(rb"(?i)request-timeout-ms: (\d+)", head)[0]) / 1000
 
     async def discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        class Noting:
+        class RecordingWriter:
             def write(_, data: bytes) -> None:  # noqa: N805 (the sweep is `self`)
-                self.made.seen.written.append((time.monotonic(), self.world.revision))
+                self.observations.traffic.list_responses.append((time.monotonic(), self.world.revision))
                 writer.write(data)
 
-        await self.world.discovery(reader, Noting())  # type: ignore[arg-type]
+        await self.world.discovery(reader, RecordingWriter())  # type: ignore[arg-type]
 
     async def control(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        status = b"%d 0 IN_PROGRESS %.3f 100\r\n" % (CANDIDATE, LIMIT)
+        status = b"%d 0 IN_PROGRESS %.3f 100\r\n" % (CANDIDATE_BUILD, EXPOSURE_LIMIT)
         while True:
             line = (await reader.readuntil(b"\r\n")).strip()
             writer.write(b"OK\r\n* progress " + status if line == b"NOTIFY" else b"OK " + status)
 
     async def change_servers(self) -> None:
         """Servers of the build that serves drain and come back; the first stays."""
-        while not self.over:
+        while not self.stopping:
             await asyncio.sleep(self.random.uniform(0.5, 2.0))
-            entry = self.random.choice(self.world.members[1:SERVERS])
+            entry = self.random.choice(self.world.members[1:SERVER_COUNT])
             entry["phase"] = "ready" if entry["phase"] == "draining" else "draining"
             self.world.publish_list()
             now = time.monotonic()
             if entry["phase"] == "draining":
-                self.made.seen.changes.append(Change(entry["id"], now, self.world.revision))
+                self.observations.traffic.drains.append(Drain(entry["id"], now, self.world.revision))
             else:
-                [one for one in self.made.seen.changes if one.server == entry["id"]][-1].back = now
+                [drain for drain in self.observations.traffic.drains if drain.server == entry["id"]][
+                    -1
+                ].ended_at = now
 
     # Clients
 
-    async def client(self, running: ProxyProcess) -> None:
-        while not self.over:
+    async def client(self, proxy: ProxyProcess) -> None:
+        while not self.stopping:
             try:
-                reader, writer = await running.connect()
+                reader, writer = await proxy.connect()
             except OSError:
                 await asyncio.sleep(0.05)
                 continue
-            while not self.over and await self.ask(reader, writer):
+            while not self.stopping and await self.send_request(reader, writer):
                 await asyncio.sleep(self.random.uniform(0.0, 0.3))
             writer.transport.abort()
 
-    async def ask(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def send_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Whether the connection may carry another request; it is closed once patience ends."""
-        self.number += 1
-        patience = self.random.uniform(*PATIENCE_SECONDS)
+        self.request_count += 1
+        client_timeout = self.random.uniform(*CLIENT_TIMEOUT_SECONDS)
         safe = self.random.random() < 0.5
-        name = f"{'safe' if safe else 'unsafe'}-{self.number}"
-        data = self.request_bytes(name, safe, f"{int(patience * 1000)}", f"key-{self.random.randrange(500)}")
-        request = self.made.requests[name] = ClientRequest(time.monotonic(), patience)
+        request_id = f"{'safe' if safe else 'unsafe'}-{self.request_count}"
+        data = self.request_bytes(
+            request_id, safe, f"{int(client_timeout * 1000)}", f"key-{self.random.randrange(500)}"
+        )
+        request = self.observations.requests[request_id] = ClientRequest(time.monotonic(), client_timeout)
         try:
             writer.write(data)
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(client_timeout):
                 head, _ = await read_message(reader)
         except TimeoutError:
             writer.transport.abort() if self.random.random() < 0.5 else writer.close()
@@ -221,95 +236,101 @@
             return False
         except (OSError, EOFError):
             return False
-        self.made.seen.statuses[head.split(b" ")[1].decode()] += 1
+        self.observations.traffic.statuses[head.split(b" ")[1].decode()] += 1
         return b"connection: close" not in head.lower()
 
-    def request_bytes(self, name: str, safe: bool, patience: str, key: str) -> bytes:
+    def request_bytes(self, request_id: str, safe: bool, timeout_ms: str, key: str) -> bytes:
         route, body = ("load-item", b"") if safe else ("submit-exam", b"x")
-        return request_bytes(name, route, patience, body).replace(b"7f3a9c21e0b4d655", key.encode())
+        return request_bytes(request_id, route, timeout_ms, body).replace(b"7f3a9c21e0b4d655", key.encode())
 
     # The process
 
     async def pause(self, process: asyncio.subprocess.Process) -> None:
         seconds = self.pause_random.choice(self.pauses)
-        self.made.pauses.append(seconds)
+        self.observations.pauses.append(seconds)
         process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         process.send_signal(signal.SIGCONT)
 
-    async def play(self, folder: Path) -> Observations:
-        for at in range(SERVERS + 1):
-            port, build = FIRST_PORT + at, CANDIDATE if at == SERVERS else BUILD
+    async def run_schedule(self, folder: Path) -> Observations:
+        for index in range(SERVER_COUNT + 1):
+            port, build = FIRST_PORT + index, CANDIDATE_BUILD if index == SERVER_COUNT else BASELINE_BUILD
             await self.world.add_server(port, self.server(f"s-{port}"), build=build)
-        self.made.candidates = {f"s-{FIRST_PORT + SERVERS}"}
-        running = await self.prepare(folder)
+        self.observations.candidates = {f"s-{FIRST_PORT + SERVER_COUNT}"}
+        proxy = await self.prepare(folder)
         log = (folder / "log").open("wb")
-        environment = {**os.environ, "PROXY_CONFIG": str(running.path), "PROXY_NAME": "n0"}
-        process = await asyncio.create_subprocess_exec(
-            *self.command(running.path), env=environment, stderr=log
-        )
+        environment = {**os.environ, "PROXY_CONFIG": str(proxy.path), "PROXY_NAME": "n0"}
+        process = await asyncio.create_subprocess_exec(*self.command(proxy.path), env=environment, stderr=log)
         try:
-            await self.play_process(running, process)
+            await self.run_pauses(proxy, process)
         finally:
             if process.returncode is None:
                 process.kill()
                 await process.wait()
             log.close()
             await self.world.close()
-        return self.made
+        return self.observations
 
     async def prepare(self, folder: Path) -> ProxyProcess:
         """Begin discovery and release controller, and write the configuration."""
         await self.world.serve(8101, self.discovery)
         await self.world.serve(8102, self.control)
-        news = {"build": CANDIDATE, "stage": 0, "phase": "IN_PROGRESS", "cap": LIMIT, "age_ms": 100}
-        known = {"revision": 1, "complete": True, "members": deepcopy(self.world.members)}
-        platform = {"address": f"{HOST}:8102", "news": news}
-        told = configuration(known=known, settings=deepcopy(SETTINGS), platform=platform)
-        return ProxyProcess(folder, told)
+        release_status = {
+            "build": CANDIDATE_BUILD,
+            "stage": 0,
+            "phase": "IN_PROGRESS",
+            "cap": EXPOSURE_LIMIT,
+            "age_ms": 100,
+        }
+        endpoint_list = {"revision": 1, "complete": True, "members": deepcopy(self.world.members)}
+        platform = {"address": f"{HOST}:8102", "news": release_status}
+        proxy_configuration = configuration(
+            known=endpoint_list, settings=deepcopy(SETTINGS), platform=platform
+        )
+        return ProxyProcess(folder, proxy_configuration)
 
     def command(self, _configuration: Path) -> list[str]:
         return ["/bin/sh", "-c", RUN]
 
-    async def play_process(self, running: ProxyProcess, process: asyncio.subprocess.Process) -> None:
+    async def run_pauses(self, proxy: ProxyProcess, process: asyncio.subprocess.Process) -> None:
         while True:
             try:
-                _, writer = await running.connect()
+                _, writer = await proxy.connect()
                 writer.close()
                 break
             except OSError:
                 await asyncio.sleep(0.05)
-        count = CROWD if self.crowd else CLIENTS
-        clients = [asyncio.create_task(self.client(running)) for _ in range(count)]
-        changes = asyncio.create_task(self.change_servers())
-        until = time.monotonic() + self.seconds
-        while time.monotonic() < until:
+        client_count = CROWD_CLIENT_COUNT if self.crowded else CLIENT_COUNT
+        clients = [asyncio.create_task(self.client(proxy)) for _ in range(client_count)]
+        server_changes = asyncio.create_task(self.change_servers())
+        deadline = time.monotonic() + self.seconds
+        while time.monotonic() < deadline:
             await asyncio.sleep(self.pause_random.uniform(0.3, 2.0))
             await self.pause(process)
         await asyncio.sleep(0.5)
         if process.returncode is not None:
-            self.made.seen.broken.append(f"ended with {process.returncode}")
+            self.observations.traffic.violations.append(f"ended with {process.returncode}")
         process.terminate()
         if self.pause_random.random() < 0.5:
             await self.pause(process)
-        self.over = True
-        await asyncio.wait([*clients, changes], timeout=8)
-        for task in (*clients, changes):
+        self.stopping = True
+        await asyncio.wait([*clients, server_changes], timeout=8)
+        for task in (*clients, server_changes):
             task.cancel()
-        results = await asyncio.gather(*clients, changes, return_exceptions=True)
-        faults = [one for one in results if isinstance(one, Exception)]
-        self.made.seen.broken += [f"the sweep itself: {fault!r}" for fault in faults]
+        results = await asyncio.gather(*clients, server_changes, return_exceptions=True)
+        errors = [result for result in results if isinstance(result, Exception)]
+        self.observations.traffic.violations += [f"the sweep itself: {error!r}" for error in errors]
 
 
 class GenericPauseSweep(PauseSweep):
     """The same of `gullmount proxy`, which speaks the generic protocols and does not tell servers a time."""
 
-    def told_seconds(self, head: bytes) -> float:
+    def parse_server_timeout(self, head: bytes) -> float:
         return 0.0
 
-    def request_bytes(self, name: str, safe: bool, patience: str, key: str) -> bytes:
+    def request_bytes(self, request_id: str, safe: bool, timeout_ms: str, key: str) -> bytes:
         line, body = ("GET /look", b"") if safe else ("POST /pay", b"x")
-        head = f"{line} HTTP/1.1\r\nHost: x\r\nRequest-Id: {name}\r\nX-Patience-Ms: {patience}\r\n"
+        head = f"{line} HTTP/1.1\r\nHost: x\r\nRequest-Id: {request_id}\r\nX-Patience-Ms: {timeout_ms}\r\n"
         return f"{head}X-Key: {key}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
     async def watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -317,13 +338,13 @@
         await read_message(reader)
         writer.write(b"HTTP/1.1 200 OK\r\n\r\n")
         while not writer.transport.is_closing():
-            boxes = [
-                {"box": one["host_port"], "zone": "a", "cell": 0, "build": one["version_no"],
-                 "state": one["phase"], "power": 1.0, "start": None, "age": None}
-                for one in self.world.members
+            endpoints = [
+                {"box": member["host_port"], "zone": "a", "cell": 0, "build": member["version_no"],
+                 "state": member["phase"], "power": 1.0, "start": None, "age": None}
+                for member in self.world.members
             ]  # fmt: skip
-            message = {"v": 1, "kind": "full", "index": self.world.revision, "boxes": boxes}
-            self.made.seen.written.append((time.monotonic(), self.world.revision))
+            message = {"v": 1, "kind": "full", "index": self.world.revision, "boxes": endpoints}
+            self.observations.traffic.list_responses.append((time.monotonic(), self.world.revision))
             writer.write(json.dumps(message).encode() + b"\n")
             try:
                 await asyncio.wait_for(self.world.changed.wait(), 1.0)
@@ -331,19 +352,27 @@
                 pass
 
     async def prepare(self, folder: Path) -> ProxyProcess:
-        released = {"news": {"build": BUILD, "stage": 2, "phase": "released", "cap": 1.0}}
-        trial = {"news": {"build": CANDIDATE, "stage": 0, "phase": "on_trial", "cap": LIMIT}}
-        releases = {"caps": [LIMIT, 0.35, 1.0], "window": WINDOW_SECONDS, "spare_tries": SPARE}
-        told = make_proxy_config(
+        released_status = {"news": {"build": BASELINE_BUILD, "stage": 2, "phase": "released", "cap": 1.0}}
+        candidate_status = {
+            "news": {"build": CANDIDATE_BUILD, "stage": 0, "phase": "on_trial", "cap": EXPOSURE_LIMIT}
+        }
+        releases = {
+            "caps": [EXPOSURE_LIMIT, 0.35, 1.0],
+            "window": WINDOW_SECONDS,
+            "spare_tries": SPARE_ATTEMPTS,
+        }
+        proxy_configuration = make_proxy_config(
             listen=f"{HOST}:8100",
             roster={"address": await self.world.serve(8101, self.watch)},
-            launcher={"address": await self.world.serve(8102, lines_script(released, trial))},
+            launcher={
+                "address": await self.world.serve(8102, lines_script(released_status, candidate_status))
+            },
             key=[{"header": "x-key"}],
             releases={**releases, "vote_life": 4, "to_advance": 1, "back_votes": 1, "votes_per_s": 50},
         ).model_dump(mode="json")
-        running = ProxyProcess(folder, told)
-        running.path.write_text(json.dumps(told))
-        return running
+        proxy = ProxyProcess(folder, proxy_configuration)
+        proxy.path.write_text(json.dumps(proxy_configuration))
+        return proxy
 
     def command(self, configuration: Path) -> list[str]:
         return [sys.executable, "-m", "gullmount", "proxy", str(configuration)]
@@ -352,11 +381,11 @@
 PROGRAMS = {"run": PauseSweep, "proxy": GenericPauseSweep}
 
 
-def play(
+def run_seed(
     seed: int, seconds: float, pauses: tuple[float, ...] = PAUSE_SECONDS, program: str = "run"
 ) -> Observations:
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(PROGRAMS[program](seed, seconds, pauses).play(Path(folder)))
+        return asyncio.run(PROGRAMS[program](seed, seconds, pauses).run_schedule(Path(folder)))
 
 
 def main() -> None:
@@ -366,17 +395,20 @@
     parser.add_argument("--seconds", type=float, default=15.0)
     parser.add_argument("--pause", type=float, help="seconds of each pause, in place of drawn ones")
     parser.add_argument("--program", choices=list(PROGRAMS), default="run")
-    told = parser.parse_args()
-    pauses = (told.pause,) if told.pause else PAUSE_SECONDS
-    bad: Counter[str] = Counter()
-    for seed in range(told.first, told.first + told.seeds):
-        made = play(seed, told.seconds, pauses, told.program)
-        breaches = check(made)
-        bad.update({breach.split(":")[0] for breach in breaches})
-        words = "; ".join(breaches[:4]) or "kept"
-        print(f"seed {seed}: {words} pauses {made.pauses} {dict(made.seen.statuses)}", flush=True)
-    print(f"seeds with breaches, by rule: {dict(bad)}")
-    sys.exit(bool(bad))
+    arguments = parser.parse_args()
+    pauses = (arguments.pause,) if arguments.pause else PAUSE_SECONDS
+    violation_counts: Counter[str] = Counter()
+    for seed in range(arguments.first, arguments.first + arguments.seeds):
+        observations = run_seed(seed, arguments.seconds, pauses, arguments.program)
+        all_violations = find_violations(observations)
+        violation_counts.update({violation.split(":")[0] for violation in all_violations})
+        summary = "; ".join(all_violations[:4]) or "kept"
+        print(
+            f"seed {seed}: {summary} pauses {observations.pauses} {dict(observations.traffic.statuses)}",
+            flush=True,
+        )
+    print(f"seeds with breaches, by rule: {dict(violation_counts)}")
+    sys.exit(bool(violation_counts))
 
 
 if __name__ == "__main__":
--- a/tests/support/soak.py
+++ b/tests/support/soak.py
@@ -41,59 +41,65 @@
     request_bytes,
 )
 
-QUEUE_PATIENCE = 2.0  # s after which a crowded discovery refuses
-NOTIFIED_AFTER_SECONDS, GRACE = (
+REFUSAL_DELAY_SECONDS = 2.0  # s after which a crowded discovery refuses
+NOTIFICATION_TIMEOUT_SECONDS, DRAIN_GRACE_SECONDS = (
     6.0,
     0.55,
 )  # s until a change counts as told at the latest; in which a send may still arrive
-KILL_AFTER = 3.7  # s from SIGTERM to SIGKILL: deadlines of 3 s at most, and 0.7 s, the page's earliest
-READY_WITHIN = 10.0  # s
-SERVERS = 5
-CLIENTS = 4
-ANSWER_WITHIN = 3.0  # s of a request, and half a second after it
+KILL_DELAY_SECONDS = (
+    3.7  # s from SIGTERM to SIGKILL: deadlines of 3 s at most, and 0.7 s, the page's earliest
+)
+READY_TIMEOUT_SECONDS = 10.0  # s
+SERVER_COUNT = 5
+CLIENT_COUNT = 4
+RESPONSE_TIMEOUT_SECONDS = 3.0  # s of a request, and half a second after it
 FAULTS = ("none", "none", "none", "none", "refused", "silent", "broken", "reset")
 FIRST_PORT = 8200
 
 
 @dataclass
-class Change:
+class Drain:
     """A server that drains or leaves, with the time at which discovery has it."""
 
     server: str
-    at: float
+    started_at: float
     revision: int
-    back: float | None = None  # when it was listed as ready again
+    ended_at: float | None = None  # when it was listed as ready again
 
 
 @dataclass
-class Seen:
+class ObservedTraffic:
     """What the outside saw; times are seconds of the monotonic clock."""
 
     # time, server, request
     sends: list[tuple[float, str, str]] = field(default_factory=list)
     # time, revision: answers of discovery
-    written: list[tuple[float, int]] = field(default_factory=list)
-    changes: list[Change] = field(default_factory=list)
+    list_responses: list[tuple[float, int]] = field(default_factory=list)
+    drains: list[Drain] = field(default_factory=list)
     statuses: Counter[str] = field(default_factory=Counter)
-    broken: list[str] = field(default_factory=list)  # rules, in words
+    violations: list[str] = field(default_factory=list)  # rules, in words
 
 
-def check_drains(seen: Seen) -> list[str]:
+def check_drains(traffic: ObservedTraffic) -> list[str]:
     """Sends after the grace to a server that counts as told off: by a written answer, or 6 s later."""
-    found = []
-    for change in seen.changes:
-        heard = [at for at, revision in seen.written if revision >= change.revision]
-        told = min([*heard, change.at + NOTIFIED_AFTER_SECONDS])
-        end = change.back if change.back is not None else float("inf")
-        late = [at for at, server, _ in seen.sends if server == change.server and told + GRACE < at < end]
-        if late:
-            first = f"the first {late[0] - told:.2f} s after told"
-            found.append(f"drain: {change.server} got {len(late)}, {first}")
-    return found
-
-
-def check_repeats(seen: Seen) -> list[str]:
-    counts = Counter(request for _, _, request in seen.sends if request.startswith("unsafe"))
+    messages = []
+    for drain in traffic.drains:
+        response_times = [at for at, revision in traffic.list_responses if revision >= drain.revision]
+        notified_at = min([*response_times, drain.started_at + NOTIFICATION_TIMEOUT_SECONDS])
+        drain_ended_at = drain.ended_at if drain.ended_at is not None else float("inf")
+        late_send_times = [
+            at
+            for at, server, _ in traffic.sends
+            if server == drain.server and notified_at + DRAIN_GRACE_SECONDS < at < drain_ended_at
+        ]
+        if late_send_times:
+            first = f"the first {late_send_times[0] - notified_at:.2f} s after told"
+            messages.append(f"drain: {drain.server} got {len(late_send_times)}, {first}")
+    return messages
+
+
+def check_unsafe_requests(traffic: ObservedTraffic) -> list[str]:
+    counts = Counter(request for _, _, request in traffic.sends if request.startswith("unsafe"))
     return [f"run twice: {request}" for request, count in counts.items() if count > 1]
 
 
@@ -104,26 +110,26 @@
         self.random = Random(seed)
         # Streams of their own: by a shared one the load of the machine decided which faults and lives came.
         self.fault_random = Random(f"faults {seed}")
-        self.life_random = Random(f"lives {seed}")
+        self.lifetime_random = Random(f"lives {seed}")
         self.seconds = seconds
-        self.seen = Seen()
+        self.traffic = ObservedTraffic()
         self.world = World()
         self.fault = "none"
-        self.over = False
-        self.serving = False  # a life is ready and was not told to end
-        self.number = 0
+        self.stopping = False
+        self.accepting_requests = False  # a life is ready and was not told to end
+        self.request_count = 0
 
     # Doubles
 
-    def server(self, name: str):  # type: ignore[no-untyped-def]
-        slow = self.random.choice((0.0, 0.0, 0.05, 0.3))
+    def server(self, server_id: str):  # type: ignore[no-untyped-def]
+        response_delay = self.random.choice((0.0, 0.0, 0.05, 0.3))
 
         async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_message(reader)
                 request = re.findall(rb"(?i)request-id: (\S+)", head)[0].decode()
-                self.seen.sends.append((time.monotonic(), name, request))
-                await asyncio.sleep(slow)
+                self.traffic.sends.append((time.monotonic(), server_id, request))
+                await asyncio.sleep(response_delay)
                 writer.write(OK)
 
         return script
@@ -131,109 +137,111 @@
     async def discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head, _ = await read_message(reader)
-            after, wait = map(int, re.findall(rb"after=(\d+)&wait_ms=(\d+) ", head)[0])
+            known_revision, wait_ms = map(int, re.findall(rb"after=(\d+)&wait_ms=(\d+) ", head)[0])
             fault = self.fault
             if fault == "silent":
                 await asyncio.sleep(60)
             if fault == "refused":
-                await asyncio.sleep(QUEUE_PATIENCE)
+                await asyncio.sleep(REFUSAL_DELAY_SECONDS)
                 writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
                 continue
-            if after >= self.world.revision:
+            if known_revision >= self.world.revision:
                 try:
-                    await asyncio.wait_for(self.world.changed.wait(), wait / 1000)
+                    await asyncio.wait_for(self.world.changed.wait(), wait_ms / 1000)
                 except TimeoutError:
                     pass
-            news = after < self.world.revision
-            data = list_answer(self.world.revision, self.world.members if news else [], complete=news)
-            if fault == "broken" and news:
+            has_changes = known_revision < self.world.revision
+            data = list_answer(
+                self.world.revision, self.world.members if has_changes else [], complete=has_changes
+            )
+            if fault == "broken" and has_changes:
                 writer.write(data[: len(data) // 2])
                 return
             if fault == "reset":
                 writer.transport.abort()
                 return
-            self.seen.written.append((time.monotonic(), self.world.revision))
+            self.traffic.list_responses.append((time.monotonic(), self.world.revision))
             writer.write(data)
 
     async def change_servers(self) -> None:
         """Servers drain and come back, one at a time; one at least stays."""
-        while not self.over:
+        while not self.stopping:
             await asyncio.sleep(self.random.uniform(1.0, 3.0))
             entry = self.random.choice(self.world.members[1:])
             entry["phase"] = "ready" if entry["phase"] == "draining" else "draining"
             self.world.publish_list()
             now = time.monotonic()
             if entry["phase"] == "draining":
-                self.seen.changes.append(Change(entry["id"], now, self.world.revision))
+                self.traffic.drains.append(Drain(entry["id"], now, self.world.revision))
             else:
-                last = [change for change in self.seen.changes if change.server == entry["id"]][-1]
-                last.back = now
+                last_drain = [drain for drain in self.traffic.drains if drain.server == entry["id"]][-1]
+                last_drain.ended_at = now
 
     async def change_faults(self) -> None:
-        while not self.over:
+        while not self.stopping:
             self.fault = self.fault_random.choice(FAULTS)
             await asyncio.sleep(self.fault_random.uniform(1.0, 7.0))
 
     # Clients
 
-    async def client(self, running: ProxyProcess) -> None:
+    async def client(self, proxy: ProxyProcess) -> None:
         """Asks on one connection for as long as that stays open, also while the process is told to end."""
-        while not self.over:
-            if not self.serving:
+        while not self.stopping:
+            if not self.accepting_requests:
                 await asyncio.sleep(0.05)
                 continue
             try:
-                reader, writer = await running.connect()
+                reader, writer = await proxy.connect()
             except OSError:
                 await asyncio.sleep(0.05)
                 continue
             first = True
-            while not self.over:
-                if not await self.ask(running, reader, writer, first):
+            while not self.stopping:
+                if not await self.send_request(proxy, reader, writer, first):
                     break
                 first = False
                 await asyncio.sleep(self.random.uniform(0.0, 0.2))
             writer.close()
 
     def request(self) -> tuple[str, bytes]:
-        self.number += 1
+        self.request_count += 1
         if self.random.random() < 0.5:
-            name = f"unsafe-{self.number}"
-            return name, request_bytes(name, "submit-exam", "1500", body=b"x")
-        name = f"safe-{self.number}"
-        return name, request_bytes(name, "load-item", "2000")
+            request_id = f"unsafe-{self.request_count}"
+            return request_id, request_bytes(request_id, "submit-exam", "1500", body=b"x")
+        request_id = f"safe-{self.request_count}"
+        return request_id, request_bytes(request_id, "load-item", "2000")
 
-    async def ask(
-        self, running: ProxyProcess, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, first: bool
+    async def send_request(
+        self, proxy: ProxyProcess, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, first: bool
     ) -> bool:
         """Whether the connection may carry another request."""
-        name, data = self.request()
-        head = await self.answer(reader, writer, data)
+        request_id, data = self.request()
+        head = await self.receive_response_head(reader, writer, data)
         if head is None and not self.killed():
             if first:
-                self.seen.broken.append(f"lost: {name}, on a new connection")
+                self.traffic.violations.append(f"lost: {request_id}, on a new connection")
                 return False
             try:
-                again = await running.connect()
+                new_connection = await proxy.connect()
             except OSError:
                 return False  # nobody listens: the request was not taken
-            head = await self.answer(*again, data)
-            again[1].close()
+            head = await self.receive_response_head(*new_connection, data)
+            new_connection[1].close()
             if head is None and not self.killed():
-                self.seen.broken.append(f"lost: {name}, sent again")
+                self.traffic.violations.append(f"lost: {request_id}, sent again")
             return False
         return head is not None and b"connection: close" not in head.lower()
 
-    async def answer(
+    async def receive_response_head(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, data: bytes
     ) -> bytes | None:
         try:
             writer.write(data)
-            async with asyncio.timeout(ANSWER_WITHIN):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_SECONDS):
                 head, _ = await read_message(reader)
         except (OSError, EOFError, TimeoutError):
             return None
-        self.seen.statuses[head.split(b" ")[1].decode()] += 1
+        self.traffic.statuses[head.split(b" ")[1].decode()] += 1
         return head
 
     def killed(self) -> bool:
@@ -242,88 +250,93 @@
 
     # Lives
 
-    async def life(self, running: ProxyProcess, seconds: float, end: str) -> None:
+    async def run_lifetime(self, proxy: ProxyProcess, seconds: float, ending: str) -> None:
         self.was_killed = False
-        environment = {**os.environ, "PROXY_CONFIG": str(running.path), "PROXY_NAME": "n0"}
-        log = (running.path.parent / "log").open("ab")
+        environment = {**os.environ, "PROXY_CONFIG": str(proxy.path), "PROXY_NAME": "n0"}
+        log = (proxy.path.parent / "log").open("ab")
         process = await asyncio.create_subprocess_exec("/bin/sh", "-c", RUN, env=environment, stderr=log)
-        began = time.monotonic()
-        if end == "term while starting":
+        launched_at = time.monotonic()
+        if ending == "term while starting":
             await asyncio.sleep(self.random.uniform(0.0, 0.3))
             process.terminate()
         else:
-            await self.ready(running, process, began)
-            self.serving = True
+            await self.wait_until_ready(proxy, process, launched_at)
+            self.accepting_requests = True
             await asyncio.sleep(seconds)
-            if end == "kill":
+            if ending == "kill":
                 self.was_killed = True
-                self.serving = False
+                self.accepting_requests = False
                 process.kill()
             else:
                 process.terminate()
                 if self.random.random() < 0.5:
                     process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.3)  # clients still come
-                self.serving = False
+                self.accepting_requests = False
         try:
-            await asyncio.wait_for(process.wait(), KILL_AFTER)
+            await asyncio.wait_for(process.wait(), KILL_DELAY_SECONDS)
         except TimeoutError:
             self.was_killed = True
             process.kill()
             await process.wait()
-            self.seen.broken.append("did not end before SIGKILL")
+            self.traffic.violations.append("did not end before SIGKILL")
         # Before the program's first line SIGTERM ends the interpreter, as any: nobody was let in by then.
-        fine = (0, -signal.SIGTERM) if end == "term while starting" else (0,)
-        if end != "kill" and process.returncode not in fine:
-            self.seen.broken.append(f"ended with {process.returncode} at {end}")
+        expected_exit_codes = (0, -signal.SIGTERM) if ending == "term while starting" else (0,)
+        if ending != "kill" and process.returncode not in expected_exit_codes:
+            self.traffic.violations.append(f"ended with {process.returncode} at {ending}")
         log.close()
         await asyncio.sleep(0.3)
 
-    async def ready(self, running: ProxyProcess, process: asyncio.subprocess.Process, began: float) -> None:
-        while time.monotonic() - began < 3 * READY_WITHIN:
+    async def wait_until_ready(
+        self, proxy: ProxyProcess, process: asyncio.subprocess.Process, launched_at: float
+    ) -> None:
+        while time.monotonic() - launched_at < 3 * READY_TIMEOUT_SECONDS:
             try:
-                if await running.request(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"):
+                if await proxy.request(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"):
                     break
             except OSError:
                 pass
             if process.returncode is not None:
-                self.seen.broken.append("ended as it started")
+                self.traffic.violations.append("ended as it started")
                 return
             await asyncio.sleep(0.05)
-        if time.monotonic() - began > READY_WITHIN:
-            self.seen.broken.append(f"ready after {time.monotonic() - began:.1f} s")
+        if time.monotonic() - launched_at > READY_TIMEOUT_SECONDS:
+            self.traffic.violations.append(f"ready after {time.monotonic() - launched_at:.1f} s")
 
-    async def play(self, folder: Path) -> Seen:
+    async def run_schedule(self, folder: Path) -> ObservedTraffic:
         await self.world.serve(8101, self.discovery)
         await self.world.serve(8102, self.world.control)
-        for at in range(SERVERS):
-            await self.world.add_server(FIRST_PORT + at, self.server(f"s-{FIRST_PORT + at}"))
+        for index in range(SERVER_COUNT):
+            await self.world.add_server(FIRST_PORT + index, self.server(f"s-{FIRST_PORT + index}"))
         settings = deepcopy(SETTINGS)
         settings["Siblings"] = self.random.choice((1, 3, 210))
-        known = {"revision": 1, "complete": True, "members": deepcopy(self.world.members)}
-        running = ProxyProcess(folder, configuration(known=known, settings=settings))
-        clients = [self.client(running) for _ in range(CLIENTS)]
-        tasks = [asyncio.create_task(one) for one in (self.change_servers(), self.change_faults(), *clients)]
-        until = time.monotonic() + self.seconds
-        while time.monotonic() < until:
-            end = self.life_random.choice(("term", "term", "kill", "term while starting"))
-            await self.life(running, self.life_random.uniform(4.0, 10.0), end)
-        self.over = True
-        _, slow = await asyncio.wait(tasks, timeout=8)
-        for task in slow:
+        endpoint_list = {"revision": 1, "complete": True, "members": deepcopy(self.world.members)}
+        proxy = ProxyProcess(folder, configuration(known=endpoint_list, settings=settings))
+        clients = [self.client(proxy) for _ in range(CLIENT_COUNT)]
+        tasks = [
+            asyncio.create_task(coroutine)
+            for coroutine in (self.change_servers(), self.change_faults(), *clients)
+        ]
+        deadline = time.monotonic() + self.seconds
+        while time.monotonic() < deadline:
+            ending = self.lifetime_random.choice(("term", "term", "kill", "term while starting"))
+            await self.run_lifetime(proxy, self.lifetime_random.uniform(4.0, 10.0), ending)
+        self.stopping = True
+        _, unfinished = await asyncio.wait(tasks, timeout=8)
+        for task in unfinished:
             task.cancel()
         await self.world.close()
-        faults = [task.exception() for task in tasks if task.done() and not task.cancelled()]
-        self.seen.broken += [f"the soak itself: {fault!r}" for fault in faults if fault]
-        self.seen.broken += check_drains(self.seen) + check_repeats(self.seen)
+        errors = [task.exception() for task in tasks if task.done() and not task.cancelled()]
+        self.traffic.violations += [f"the soak itself: {error!r}" for error in errors if error]
+        self.traffic.violations += check_drains(self.traffic) + check_unsafe_requests(self.traffic)
         if b"Traceback" in (folder / "log").read_bytes():
-            self.seen.broken.append("traceback in the log")
-        return self.seen
+            self.traffic.violations.append("traceback in the log")
+        return self.traffic
 
 
-def play(seed: int, seconds: float) -> Seen:
+def run_seed(seed: int, seconds: float) -> ObservedTraffic:
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(Soak(seed, seconds).play(Path(folder)))
+        return asyncio.run(Soak(seed, seconds).run_schedule(Path(folder)))
 
 
 def main() -> None:
@@ -331,13 +344,15 @@
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--seconds", type=float, default=30.0)
-    told = parser.parse_args()
-    bad = 0
-    for seed in range(told.first, told.first + told.seeds):
-        seen = play(seed, told.seconds)
-        bad += bool(seen.broken)
-        print(f"seed {seed}: {'; '.join(seen.broken[:3]) or 'kept'} {dict(seen.statuses)}", flush=True)
-    sys.exit(bool(bad))
+    arguments = parser.parse_args()
+    failed_seed_count = 0
+    for seed in range(arguments.first, arguments.first + arguments.seeds):
+        traffic = run_seed(seed, arguments.seconds)
+        failed_seed_count += bool(traffic.violations)
+        print(
+            f"seed {seed}: {'; '.join(traffic.violations[:3]) or 'kept'} {dict(traffic.statuses)}", flush=True
+        )
+    sys.exit(bool(failed_seed_count))
 
 
 if __name__ == "__main__":
