--- a/gullmount/platform/__init__.py
+++ b/gullmount/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The proxy as the users' platform runs it.
+"""Runs the proxy on the users' platform.
 
-Configuration file, discovery, release controller, vote gossip and signals. Nothing is decided here;
-docs/protocols.md has the formats.
+This package contains the configuration file, the clients of discovery and the release controller, vote gossip
+and signal handling. It makes no routing or release decisions. docs/protocols.md describes the formats.
 """
--- a/gullmount/platform/http_adapter.py
+++ b/gullmount/platform/http_adapter.py
@@ -1,6 +1,6 @@
-"""Requests, responses and servers by the platform's HTTP protocol, as a `proxy.protocol_adapter`. No I/O.
+"""Implements `proxy.protocol_adapter.ProtocolAdapter` for the platform's HTTP protocol.
 
-The protocol's header names and statuses are known here only.
+No other module knows the protocol's header names and status codes. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -29,48 +29,78 @@
 from gullmount.proxy.request_exchange import RequestExchange
 from gullmount.settings import SocketSettings
 
-MAX_HEAD_BYTES = 16384  # usual heads have some 300
-MAX_BODY_BYTES = 65536  # of requests and responses, as the protocol says
-FIRST_REQUEST_TIMEOUT_SECONDS = 2.4  # from connecting; who sends no request is owed a close within 3 s
-READ_TIMEOUT_SECONDS = 4.0  # of a later request, from its first byte to its last: some write slowly
-IDLE_TIMEOUT_SECONDS = 8.0  # between a client's requests; it may be closed after 2 s
-WRITE_TIMEOUT_SECONDS = 2.0  # for a client to take its response
-LINGER_TIMEOUT_SECONDS = 0.3  # of reading on behind an error
-RESPONSE_MARGIN_SECONDS = 0.012  # before the client's deadline, by which its response leaves
-SERVER_IDLE_MARGIN_SECONDS = 0.5  # before a server may close an idle connection, which is not used any more
-DOWNSTREAM_DESCRIPTOR_SHARE = 0.45  # clients need a third for requests; useless connections come on top
-UPSTREAM_DESCRIPTOR_SHARE = 0.35  # the rest is for discovery, release controller and the program itself
+# Maximum size of a request head. Usual heads have about 300 bytes.
+MAX_HEAD_BYTES = 16384
+# Maximum size of request and response bodies, as defined by the protocol.
+MAX_BODY_BYTES = 65536
+# Timeout from the start of a connection until its first request is complete. A connection on which no request
+# arrives must be closed within 3 s.
+FIRST_REQUEST_TIMEOUT_SECONDS = 2.4
+# Timeout of a later request, from its first byte to its last. Some clients write slowly.
+READ_TIMEOUT_SECONDS = 4.0
+# Maximum idle time between a client's requests. The connection may be closed after 2 s.
+IDLE_TIMEOUT_SECONDS = 8.0
+# Time for a client to accept its response.
+WRITE_TIMEOUT_SECONDS = 2.0
+# Time during which received bytes are read and discarded after an error response.
+LINGER_TIMEOUT_SECONDS = 0.3
+# Time before the client's deadline at which the response is sent at the latest.
+RESPONSE_MARGIN_SECONDS = 0.012
+# An idle connection is no longer reused from this time before the server may close it.
+SERVER_IDLE_MARGIN_SECONDS = 0.5
+# Share of the descriptors for client connections. Clients need a third of the descriptors for requests; the
+# remainder is for connections that carry no request.
+DOWNSTREAM_DESCRIPTOR_SHARE = 0.45
+# Share of the descriptors for server connections. The descriptors that remain are for discovery, the release
+# controller and the process itself.
+UPSTREAM_DESCRIPTOR_SHARE = 0.35
 MAX_CONNECTIONS_PER_SERVER = 64
-MAX_TIMEOUT_DIGITS = 9  # of milliseconds: over 11 days
-MAX_REQUEST_ID_CHARACTERS = 64  # the platform's have 16
+# Maximum number of digits of a request timeout in milliseconds; 9 digits allow more than 11 days.
+MAX_TIMEOUT_DIGITS = 9
+# Maximum length of a request id. The platform's request ids have 16 characters.
+MAX_REQUEST_ID_CHARACTERS = 64
 MILLISECONDS_PER_SECOND = 1000
 
 HEALTH_PATH = "/healthz"
-REQUIRED_HEADERS = (b"host", b"request-class", b"request-id")  # a request without one of them is not accepted
-REWRITTEN_HEADERS = (b"content-length", b"request-timeout-ms")  # written anew for each server
+# A request without one of these headers is not accepted.
+REQUIRED_HEADERS = (b"host", b"request-class", b"request-id")
+# Headers that are written anew for each attempt.
+REWRITTEN_HEADERS = (b"content-length", b"request-timeout-ms")
 REQUEST_ID_PATTERN = re.compile(r"[!-~]+", re.ASCII)
-NOT_STARTED_HEADER = (b"not-started", b"1")  # by which a server says that it never began
-NOT_STARTED_STATUSES = (503, 504)  # with which that header counts
+# Response header by which a server states that it did not start the request.
+NOT_STARTED_HEADER = (b"not-started", b"1")
+# Status codes of responses in which `NOT_STARTED_HEADER` is honored.
+NOT_STARTED_STATUSES = (503, 504)
 STATUS_OK = 200
 STATUS_BAD_GATEWAY = 502
+# Value of `Response.disposition` for a request that the proxy rejects.
 REJECTED_DISPOSITION = b"shed"
 PLATFORM_OUTCOME_BY_ATTEMPT_END = OUTCOME_BY_ATTEMPT_END | {
-    # A server starts on a request once its last byte has arrived, so a failed write proves that it did not.
+    # A server starts a request only after its last byte has arrived. A failed write thus proves that the
+    # request did not start.
     AttemptEnd.WRITE_FAILED: Outcome.CONNECT_FAILED,
-    # The attempt ran and the connection is lost; as a reset it counts neither for nor against a build.
+    # The attempt ran and the connection is lost. A reset counts neither for nor against a build.
     AttemptEnd.MALFORMED_RESPONSE: Outcome.RESET,
     AttemptEnd.RESPONSE_TOO_LARGE: Outcome.RESET,
 }
+# Required method by retry safety of the route. Other routes allow any method.
 REQUIRED_METHODS = {
     RetrySafety.IDEMPOTENT: "GET",
     RetrySafety.AT_MOST_ONCE: "POST",
-}  # others may have any method
+}
 
 
 class PlatformAdapter:
-    """The platform's protocol for one instance; `sockets` are the file descriptors it may use.
-
-    `addresses` by server are kept up to date by the endpoint cache. `now` returns seconds.
+    """Applies the platform's protocol to the requests of one instance.
+
+    Attributes:
+        settings: settings of the instance, among them its routes.
+        route_timeouts: maximum request timeout in seconds by route.
+        sends_retry_after: whether rejections carry a Retry-After header.
+        request_ids: ids of requests in flight and of recent requests.
+        addresses: server addresses by server id, kept up to date by the endpoint cache.
+        downstream_limits: limits on client connections.
+        upstream_limits: limits on server connections.
     """
 
     def __init__(
@@ -80,6 +110,14 @@
         descriptor_limit: int,
         now: Callable[[], float],
     ) -> None:
+        """Create the adapter.
+
+        Args:
+            settings: settings of the instance.
+            socket_settings: timeouts of requests and connections.
+            descriptor_limit: maximum number of file descriptors that the process may use.
+            now: returns the current time in seconds.
+        """
         self.settings = settings
         self.route_timeouts = socket_settings.route_timeouts
         self.sends_retry_after = settings.max_retry_after > 0
@@ -91,7 +129,10 @@
     # Clients
 
     def local_response(self, head: RequestHead) -> Response | None:
-        """Answer a health check; None for any other request. Raises ProtocolError."""
+        """Return the response to a health check, or None for any other request.
+
+        Raises ProtocolError if the method of a health check is not GET.
+        """
         if head.target.partition("?")[0] != HEALTH_PATH:
             return None
         if head.method != "GET":
@@ -99,7 +140,7 @@
         return Response(STATUS_OK, [], b"ok\n", b"OK")
 
     def request_metadata(self, head: RequestHead) -> RequestMetadata:
-        """Return what the head says; raises ProtocolError where the request is not to be accepted."""
+        """Return the request's metadata. Raises ProtocolError if the request must not be accepted."""
         route = self.find_route(head)
         request_id = head.get_single("request-id")
         if (
@@ -120,7 +161,10 @@
         )
 
     def find_route(self, head: RequestHead) -> Route:
-        """Return the route that header and path both name; raises ProtocolError."""
+        """Return the route of the request.
+
+        Raises ProtocolError if header and path do not name the same known route, or if the method is wrong.
+        """
         name = head.get_single("request-class")
         route = self.settings.routes.get(name or "")
         if route is None or head.target.partition("?")[0].split("/")[1:2] != [name]:
@@ -130,46 +174,47 @@
         return route
 
     def claim_request_id(self, metadata: RequestMetadata) -> None:
-        """Note the request's id; raises ProtocolError where it is known."""
+        """Register the id of a request about to be accepted. Raises ProtocolError if the id is known."""
         if not self.request_ids.claim(metadata.client_request_id):
             raise ProtocolError(400, "an id that was there before")
 
     def request_ended(self, exchange: RequestExchange) -> None:
-        """Note that the request has its response and its last attempt has ended."""
+        """Release the id of a request that has its response and whose last attempt has ended."""
         self.request_ids.release(exchange.client_request_id)
 
     def downstream_headers(self, response: Response) -> Headers:
-        """Return the headers that go to the client: none of a server's, only those of a rejection."""
+        """Return the headers to send to the client: those of a rejection, and none of a server's response."""
         return response.headers if response.disposition == REJECTED_DISPOSITION else []
 
     def rejection_response(self, retry_after: float) -> Response:
-        """Return the response of a rejected request; `retry_after` in seconds, 0 for none."""
+        """Return the response to a rejected request; `retry_after` is in seconds, 0 for none."""
         sends_retry_after = self.sends_retry_after and retry_after > 0
         headers = [(b"retry-after", b"%.3f" % retry_after)] if sends_retry_after else []
         return Response(503, headers, b"shed\n", b"Service Unavailable", REJECTED_DISPOSITION)
 
     def failure_response(self, status: int) -> Response:
-        """Return the response of a request that failed."""
+        """Return the response to a failed request; `status` is its status code."""
         return failure_response(status)
 
     def server_error_response(self, _response: Response) -> Response:
-        """Return 502 in place of a server's error.
+        """Return a 502 response in place of a server's error response.
 
-        A client would take a server's 503 or 429 for a promise that the request did not run; it may have.
+        A client would take a server's 503 or 429 as a guarantee that the request did not run, although it may
+        have run.
         """
         return failure_response(STATUS_BAD_GATEWAY)
 
     # Servers
 
     def server_address(self, server_id: str) -> str:
-        """Return where to connect; raises KeyError for a server that is not listed any more."""
+        """Return the server's address. Raises KeyError if the server is no longer listed."""
         return self.addresses[server_id]
 
     def upstream_headers(self, exchange: RequestExchange, timeout: float) -> Headers:
-        """Return the headers that go to a server, which gets `timeout` seconds.
+        """Return the request headers to send to a server; `timeout` is the attempt's timeout in seconds.
 
-        All end-to-end headers pass (RFC 9110, 7.6): servers may go by any of them. Required ones pass also
-        where a client names them in Connection.
+        All end-to-end headers are forwarded (RFC 9110, 7.6) because servers may use any of them. Required
+        headers are forwarded even if the client names them in its Connection header.
         """
         received = exchange.head.headers
         headers = [pair for pair in received if pair[0] in REQUIRED_HEADERS]
@@ -183,7 +228,7 @@
         return headers
 
     def outcome(self, end: AttemptEnd, response: Response | None) -> Outcome:
-        """Return what the end of an attempt means by this protocol."""
+        """Return the outcome of an attempt according to the platform's protocol."""
         if end is not AttemptEnd.RESPONSE_COMPLETE or response is None:
             return PLATFORM_OUTCOME_BY_ATTEMPT_END[end]
         if response.status == STATUS_OK:
@@ -193,7 +238,7 @@
 
 
 def read_timeout(head: RequestHead) -> float:
-    """Return how many seconds the client waits; raises ProtocolError where it does not say."""
+    """Return the client's timeout in seconds. Raises ProtocolError if it is missing or invalid."""
     text = head.get_single("request-timeout-ms")
     if text is None or not text.isdecimal() or not text.isascii() or len(text) > MAX_TIMEOUT_DIGITS:
         raise ProtocolError(400, "the client's timeout is no number")
@@ -201,7 +246,7 @@
 
 
 def downstream_limits(descriptor_limit: int) -> DownstreamLimits:
-    """Return what is accepted of clients, for that many file descriptors."""
+    """Return the limits on client connections; `descriptor_limit` is the number of file descriptors."""
     return DownstreamLimits(
         max_head_bytes=MAX_HEAD_BYTES,
         max_body_bytes=MAX_BODY_BYTES,
@@ -217,7 +262,7 @@
 
 
 def upstream_limits(socket_settings: SocketSettings, descriptor_limit: int) -> UpstreamLimits:
-    """Return what is used of servers, for that many file descriptors."""
+    """Return the limits on server connections; `descriptor_limit` is the number of file descriptors."""
     server_idle_timeout = socket_settings.connection_idle_timeout
     return UpstreamLimits(
         connect_timeout=socket_settings.connect_timeout,
--- a/gullmount/platform/reporting.py
+++ b/gullmount/platform/reporting.py
@@ -1,4 +1,4 @@
-"""Periodic log lines of one instance: its counters, and how late the event loop was."""
+"""Logs the counters of an instance and the delay of its event loop at regular intervals."""
 
 from __future__ import annotations
 
@@ -12,32 +12,40 @@
 from gullmount.proxy.runtime import BufferedRuntime
 
 REPORT_INTERVAL_SECONDS = 5.0
-MIN_REPORTED_DELAY_SECONDS = 0.05  # a sixth of a usual objective, which then reads as slowness of servers
+# Minimum event loop delay that is logged. It is a sixth of a usual latency objective; such a delay looks like
+# slow servers.
+MIN_REPORTED_DELAY_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Reporter:
-    """Reports what the parts of one instance have counted, through the runtime's log and clock."""
+    """Logs the counters of one instance.
+
+    Attributes:
+        runtime: provides the log, the clock and the counters of requests.
+        discovery: provides the state of the endpoint list.
+        listener: provides the number of client connections.
+    """
 
     runtime: BufferedRuntime
     discovery: DiscoveryWatch
     listener: BufferedListener
 
     async def run(self) -> None:
-        """Write the reports for ever."""
+        """Log both reports at each interval until cancelled."""
         while True:
             await anyio.sleep(REPORT_INTERVAL_SECONDS)
             self.report_event_loop_delay()
             self.report_counters()
 
     def report_event_loop_delay(self) -> None:
-        """Log by how much timers were late at most since the last report, where that is noticeable."""
+        """Log the maximum delay of timers since the last report if it exceeds the threshold."""
         delay = self.runtime.timers.take_max_delay()
         if delay > MIN_REPORTED_DELAY_SECONDS:
             self.runtime.log_event(LogEvent.EVENT_LOOP_DELAYED, max_seconds=round(delay, 3))
 
     def report_counters(self) -> None:
-        """Log what was counted since the last report, and what is open now."""
+        """Log the counts since the last report, the open requests and connections, and the endpoint list."""
         runtime, discovery = self.runtime, self.discovery
         now = runtime.now()
         runtime.log_event(
--- a/gullmount/platform/request_ids.py
+++ b/gullmount/platform/request_ids.py
@@ -1,18 +1,27 @@
-"""Ids of requests that are in flight or came lately, in bounded memory. No I/O."""
+"""Remembers the ids of recent requests and of requests in flight, in bounded memory. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-MIN_REMEMBERED_SECONDS = 4.0  # at least, in which an id that comes again is known as such
-MAX_IDS_PER_GENERATION = 20_000  # in that time, some 2 MB
+# Minimum time for which an id is remembered, unless more than `MAX_IDS_PER_GENERATION` ids arrive in it.
+MIN_REMEMBERED_SECONDS = 4.0
+# Maximum number of ids in one generation, which take about 2 MB.
+MAX_IDS_PER_GENERATION = 20_000
 
 
 class RequestIds:
-    """Tells whether a request's id is new.
+    """Detects repeated request ids.
 
-    Guards against a client that names another's request: it must not reach a server a second time. Recent ids
-    stand in two generations, of which the older is dropped as a whole.
+    A client may send the id of another client's request, which must not reach a server a second time. Recent
+    ids are kept in two generations; the older one is dropped as a whole.
+
+    Attributes:
+        now: returns the current time in seconds.
+        in_flight: ids of requests in flight.
+        current_ids: ids of the current generation.
+        previous_ids: ids of the previous generation.
+        generation_started_at: start time of the current generation in seconds.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -23,7 +32,7 @@
         self.generation_started_at = 0.0
 
     def claim(self, request_id: str) -> bool:
-        """Return whether the id is new, and note it as in flight if so."""
+        """Return whether the id is new, and register a new id as in flight."""
         now = self.now()
         if (
             now - self.generation_started_at > MIN_REMEMBERED_SECONDS
@@ -41,5 +50,5 @@
         return True
 
     def release(self, request_id: str) -> None:
-        """Note that the request has ended; its id stays known for a while."""
+        """Remove the id of an ended request from those in flight. It stays a recent id for a while."""
         self.in_flight.discard(request_id)
--- a/gullmount/platform/runner.py
+++ b/gullmount/platform/runner.py
@@ -1,4 +1,4 @@
-"""Runs one instance under the process's signals."""
+"""Runs one instance and handles the signals of its process."""
 
 from __future__ import annotations
 
@@ -19,18 +19,27 @@
 
 
 def read_monotonic_clock() -> float:
-    """Return seconds of the system's clock: the event loop's stands still while it works through a turn."""
+    """Return the system's monotonic clock in seconds, plus `CLOCK_OFFSET_SECONDS`.
+
+    The event loop's own clock does not advance during one iteration of the loop.
+    """
     return time.monotonic() + CLOCK_OFFSET_SECONDS
 
 
 async def run(
     configuration: Configuration, net: Net, log: LogFunction, exit_process: Callable[[int], object]
 ) -> None:
-    """Serve until SIGTERM or SIGINT; SIGHUP reads the configuration file again.
+    """Serve until SIGTERM or SIGINT, and reload the configuration file on SIGHUP.
+
+    The caller blocks the signals, so that those sent since the start of the process are received here.
 
-    The caller blocks the signals, so that those that came since the process began are received here.
-    `exit_process` gets the exit status and ends the process before the event loop is taken down: a second
-    signal would find no handler then, and the process would end as killed after a good shutdown.
+    Args:
+        configuration: configuration of the instance.
+        net: opens listeners and connections.
+        log: writes a log line.
+        exit_process: ends the process with an exit status. It is called before the event loop is closed,
+            because after that a second signal would find no handler, and the process would end as killed
+            although it had shut down cleanly.
     """
     with anyio.open_signal_receiver(*SIGNALS) as signals:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
