--- a/gullmount/platform/errors.py
+++ b/gullmount/platform/errors.py
@@ -1,6 +1,6 @@
-"""Errors of what the platform's services send.
+"""Defines the errors raised for invalid data from discovery and the release controller.
 
-The sender is at fault, and only its call or connection ends.
+The sender of the data is at fault. An error ends only the call or connection that carried the data.
 """
 
 from __future__ import annotations
@@ -9,15 +9,16 @@
 
 from gullmount.errors import GullmountError
 
-MAX_SHOWN_CHARACTERS = 20  # of a reply that was not expected
+# Maximum number of characters of an invalid text that an error message quotes.
+MAX_SHOWN_CHARACTERS = 20
 
 
 class InvalidPlatformMessageError(GullmountError):
-    """Base of the errors of messages from discovery and from the release controller."""
+    """Base class of errors in messages from discovery and the release controller."""
 
 
 class LineProblem(StrEnum):
-    """What is wrong with a line."""
+    """The reason why a line from the release controller is invalid."""
 
     TOO_LONG = "too long"
     BAD_END = "too long or not ended by CR LF"
@@ -25,7 +26,7 @@
 
 
 class InvalidLineError(InvalidPlatformMessageError):
-    """The release controller sent what is no line of its protocol."""
+    """The release controller sent bytes that are not a valid line of its protocol."""
 
     def __init__(self, problem: LineProblem) -> None:
         super().__init__(f"line from the release controller is {problem}")
@@ -33,7 +34,7 @@
 
 
 class InvalidReleaseStatusError(InvalidPlatformMessageError):
-    """The text is no release status: build, stage, phase, exposure limit and age."""
+    """A text is not a valid release status: build, stage, phase, exposure limit and age."""
 
     def __init__(self, text: str) -> None:
         super().__init__(f"not a release status: {text[:MAX_SHOWN_CHARACTERS]!r}")
@@ -41,7 +42,7 @@
 
 
 class MissingStatusFieldError(InvalidPlatformMessageError):
-    """The release status in the configuration file lacks a field."""
+    """The release status in the configuration file has a missing field."""
 
     def __init__(self, field: str) -> None:
         super().__init__(f"platform.news: no {field!r}")
@@ -49,7 +50,7 @@
 
 
 class UnexpectedReplyError(InvalidPlatformMessageError):
-    """The release controller sent a line that is no reply here, or one that refuses the vote."""
+    """The release controller sent a line that is not a valid reply, or a reply that refuses the vote."""
 
     def __init__(self, reply: str) -> None:
         super().__init__(f"unexpected reply {reply[:MAX_SHOWN_CHARACTERS]!r}")
@@ -57,7 +58,7 @@
 
 
 class InvalidEndpointPageError(InvalidPlatformMessageError):
-    """Discovery's answer is not JSON of the form that its protocol gives."""
+    """An endpoint list from discovery or the configuration file is not JSON of the expected form."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(detail)
@@ -65,7 +66,7 @@
 
 
 class InvalidEndpointFieldError(InvalidPlatformMessageError):
-    """A server on discovery's list has a field that cannot be used."""
+    """An entry of the endpoint list has a field with an unusable value."""
 
     def __init__(self, field: str, problem: str) -> None:
         super().__init__(f"field {field} {problem}")
@@ -74,7 +75,7 @@
 
 
 class EndpointListTooLongError(InvalidPlatformMessageError):
-    """Discovery's answer has more bytes than are accepted."""
+    """The body of a response from discovery exceeds the maximum size."""
 
     def __init__(self, max_bytes: int) -> None:
         super().__init__(f"list too long: more than {max_bytes} bytes")
--- a/gullmount/platform/line_reader.py
+++ b/gullmount/platform/line_reader.py
@@ -1,4 +1,4 @@
-"""Reads the release controller's lines from one connection."""
+"""Reads lines of the release controller's protocol from a stream."""
 
 from __future__ import annotations
 
@@ -9,14 +9,24 @@
 
 
 class LineReader:
-    """Lines in the order in which they arrive."""
+    """Splits the bytes of one connection into lines.
+
+    Attributes:
+        stream: the connection.
+        buffer: bytes received and not yet returned.
+    """
 
     def __init__(self, stream: Stream) -> None:
         self.stream = stream
         self.buffer = b""
 
     async def next_line(self) -> str:
-        """Return the next line without its end; raises InvalidLineError or what a broken stream does."""
+        """Return the next line without CR LF.
+
+        Raises:
+            InvalidLineError: The line is too long, does not end with CR LF or is not ASCII.
+            Exception: Any error of the stream is passed on.
+        """
         while b"\n" not in self.buffer:
             if len(self.buffer) >= MAX_LINE_BYTES:
                 raise InvalidLineError(LineProblem.TOO_LONG)
--- a/gullmount/platform/release_controller.py
+++ b/gullmount/platform/release_controller.py
@@ -1,7 +1,9 @@
-"""Client of the release controller: status lines on one connection, each vote on a connection of its own.
+"""Implements the client of the release controller.
 
-What cannot be read ends its connection and nothing else. A vote whose answer is lost may have counted: the
-router is told that it failed and casts it again.
+- Status lines arrive on one long-lived connection; each vote uses a connection of its own.
+- Invalid data ends only the connection on which it arrives.
+- A vote whose response is lost may have been counted. It is reported to the router as failed, and the router
+  casts it again.
 """
 
 from __future__ import annotations
@@ -30,17 +32,30 @@
 from gullmount.proxy.runtime import BufferedRuntime
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-RECEIVE_TIMEOUT_SECONDS = 3.5  # the service sends a line each second at least
-MIN_BACKOFF_SECONDS = 0.2  # up to twice that by chance; doubles with each attempt that hears nothing
-MAX_BACKOFF_SECONDS = 1.5  # before chance; a status must not be late for longer than a stage lasts
-MAX_CONCURRENT_VOTES = 4  # the service holds 32 connections of an instance
-
-# What a release controller's answer or its connection may end by.
+# Maximum time between two lines. The release controller sends at least one line per second.
+RECEIVE_TIMEOUT_SECONDS = 3.5
+# Initial backoff. It doubles after each connection that receives no line. Random jitter extends each delay up
+# to twofold.
+MIN_BACKOFF_SECONDS = 0.2
+# Maximum backoff before jitter. A status must not be delayed for longer than a stage lasts.
+MAX_BACKOFF_SECONDS = 1.5
+# The release controller accepts 32 connections from an instance.
+MAX_CONCURRENT_VOTES = 4
+
+# Errors that a response of the release controller or its connection may raise.
 EXPECTED_ERRORS = (InvalidPlatformMessageError, TimeoutError, *STREAM_ERRORS)
 
 
 class ReleaseControllerClient(ServiceWatch):
-    """Follows the release status and casts votes for as long as the instance lives."""
+    """Follows the release status and casts votes.
+
+    Attributes:
+        runtime: runtime of the instance.
+        net: opens the connections.
+        vote_timeout: timeout of one vote in seconds.
+        vote_semaphore: limits the number of concurrent votes.
+        received_line: whether the current status connection has received a line.
+    """
 
     def __init__(self, runtime: BufferedRuntime, net: Net, address: str, vote_timeout: float) -> None:
         super().__init__(address)
@@ -48,18 +63,18 @@
         self.net = net
         self.vote_timeout = vote_timeout
         self.vote_semaphore = anyio.Semaphore(MAX_CONCURRENT_VOTES)
-        self.received_line = False  # whether the connection under way brought a line
+        self.received_line = False
 
     def apply_configured_status(self, fields: Mapping[str, Any]) -> None:
-        """Start from the status in the configuration file; raises InvalidPlatformMessageError."""
+        """Apply the status in the configuration file. Raises InvalidPlatformMessageError if it is invalid."""
         self.apply_status(release_status_from_fields(fields))
 
     def apply_status(self, status: ReleaseStatus) -> None:
-        """Pass a status on to the router."""
+        """Pass a status to the router."""
         self.runtime.router.update_release(status.build, status.stage, status.phase, status.exposure_limit)
 
     async def run(self) -> None:
-        """Follow the status for ever, on a new connection whenever one ends or the address changes."""
+        """Follow the status until cancelled, and reconnect if the connection ends or the address changes."""
         backoff = MIN_BACKOFF_SECONDS
         while True:
             with anyio.CancelScope() as self.watch_scope:
@@ -74,7 +89,7 @@
                 backoff = min(MAX_BACKOFF_SECONDS, backoff * 2)
 
     async def follow_status(self) -> None:
-        """Read one connection's status lines; ends by an exception only."""
+        """Subscribe on a new connection and apply its status lines; returns only by an exception."""
         self.received_line = False
         with anyio.fail_after(CONNECT_TIMEOUT_SECONDS):
             stream = await self.net.connect(self.address)
@@ -89,18 +104,21 @@
             await anyio.aclose_forcefully(stream)
 
     def handle_line(self, line: str) -> None:
-        """Apply a status line; raises InvalidPlatformMessageError where it is none of the protocol's."""
+        """Apply a status line and ignore a keep-alive.
+
+        Raises InvalidPlatformMessageError for any other line.
+        """
         if line.startswith(STATUS_PREFIX):
             self.apply_status(parse_release_status(line.removeprefix(STATUS_PREFIX)))
         elif not is_keep_alive(line):
             raise UnexpectedReplyError(line)
 
     def vote(self, build: int, stage: int, vote: Vote) -> None:
-        """Begin to cast a vote."""
+        """Start casting a vote in the background."""
         self.runtime.task_group.start_soon(self.cast_vote, build, stage, vote)
 
     async def cast_vote(self, build: int, stage: int, vote: Vote) -> None:
-        """Cast a vote; the router is told of whatever is no good answer."""
+        """Cast a vote, and report it to the router as failed unless it is accepted."""
         try:
             with anyio.fail_after(self.vote_timeout):
                 response = await self.exchange_vote(encode_vote(build, stage, vote))
@@ -113,7 +131,7 @@
             self.runtime.router.vote_failed(build)
 
     async def exchange_vote(self, line: bytes) -> str:
-        """Send a vote on a connection of its own and return the answer's line."""
+        """Send a vote on a new connection and return the line of the response."""
         async with self.vote_semaphore:
             stream = await self.net.connect(self.address)
             try:
@@ -124,5 +142,5 @@
 
 
 def describe_error(error: BaseException) -> str:
-    """Return type and text, since some network errors have no text."""
+    """Return the type and text of an error, because some network errors have no text."""
     return f"{type(error).__name__} {error}"
--- a/gullmount/platform/release_protocol.py
+++ b/gullmount/platform/release_protocol.py
@@ -1,4 +1,4 @@
-"""The release controller's protocol as text: status lines and votes. No I/O."""
+"""Parses status lines and encodes votes of the release controller's text protocol. No I/O."""
 
 from __future__ import annotations
 
@@ -19,15 +19,16 @@
     "COMPLETE": ReleasePhase.RELEASED,
     "ROLLED_BACK": ReleasePhase.ROLLED_BACK,
 }
-# Build, stage, phase, exposure limit, and milliseconds since the last change, which nothing here uses.
+# Build, stage, phase, exposure limit, and milliseconds since the last change. The last field is not used.
 STATUS_PATTERN = re.compile(
     r"(\d{1,5}) (\d{1,3}) ([A-Z_]{1,20}) (\d{1,3}(?:\.\d{1,20})?(?:[eE]-?\d{1,3})?) (\d{1,15})", re.ASCII
 )
-STATUS_FIELDS = ("build", "stage", "phase", "cap", "age_ms")  # as the configuration file names them
+# Names of the status fields in the configuration file, in the order of `STATUS_PATTERN`.
+STATUS_FIELDS = ("build", "stage", "phase", "cap", "age_ms")
 
 
 class ReleaseStatus(NamedTuple):
-    """Where a release stands; `exposure_limit` is the part of the traffic that it may get, 0 to 1."""
+    """State of a release; `exposure_limit` is the maximum share of the traffic for its build, 0 to 1."""
 
     build: int
     stage: int
@@ -36,7 +37,10 @@
 
 
 def parse_release_status(text: str) -> ReleaseStatus:
-    """Read a status as status lines and answers to votes hold it; raises InvalidReleaseStatusError."""
+    """Parse the status in a status line or in the response to a vote.
+
+    Raises InvalidReleaseStatusError if the text is invalid.
+    """
     match = STATUS_PATTERN.fullmatch(text)
     if match is None or match[3] not in PHASES or float(match[4]) > 1:
         raise InvalidReleaseStatusError(text)
@@ -44,7 +48,12 @@
 
 
 def release_status_from_fields(fields: Mapping[str, Any]) -> ReleaseStatus:
-    """Read a status as the configuration file holds it; raises InvalidPlatformMessageError."""
+    """Parse the status in the configuration file.
+
+    Raises:
+        MissingStatusFieldError: A field is missing.
+        InvalidReleaseStatusError: A field has an invalid value.
+    """
     for name in STATUS_FIELDS:
         if name not in fields:
             raise MissingStatusFieldError(name)
@@ -52,10 +61,10 @@
 
 
 def encode_vote(build: int, stage: int, vote: Vote) -> bytes:
-    """Return the line that casts a vote."""
+    """Encode a vote as a line of the protocol."""
     return f"BALLOT {build} {stage} {VOTE_WORDS[vote]}\r\n".encode()
 
 
 def is_keep_alive(line: str) -> bool:
-    """Whether the line only acknowledges, says that the service is there, or tells what is not read here."""
+    """Return whether the line is an acknowledgement, a keep-alive or a notification that is ignored."""
     return line in {"OK", "*"} or line.startswith("* ")
--- a/gullmount/platform/service_watch.py
+++ b/gullmount/platform/service_watch.py
@@ -1,4 +1,4 @@
-"""What the clients of discovery and of the release controller share: an address that may change."""
+"""Defines the base class of the clients of discovery and the release controller."""
 
 from __future__ import annotations
 
@@ -6,9 +6,11 @@
 
 
 class ServiceWatch:
-    """An endless conversation with a service at one address.
+    """Watches a service whose address may change.
 
-    `watch_scope` holds the conversation that is under way, if there is one.
+    Attributes:
+        address: address of the service.
+        watch_scope: cancel scope of the current call or connection, or None.
     """
 
     def __init__(self, address: str) -> None:
@@ -16,7 +18,7 @@
         self.watch_scope: anyio.CancelScope | None = None
 
     def change_address(self, address: str) -> None:
-        """Leave for another address at once; the same address changes nothing."""
+        """Set the address and, if it differs, cancel the current call or connection at once."""
         if address != self.address:
             self.address = address
             if self.watch_scope is not None:
--- a/gullmount/platform/vote_gossip.py
+++ b/gullmount/platform/vote_gossip.py
@@ -1,4 +1,7 @@
-"""Votes between proxy instances by datagrams, which may be lost; the text is `settings.peer_vote`'s."""
+"""Exchanges votes between proxy instances in datagrams, which may be lost.
+
+`gullmount.settings.peer_vote` defines the text of a datagram.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +13,20 @@
 from gullmount.proxy.runtime import BufferedRuntime
 from gullmount.settings import PeerVote, decode_peer_vote, encode_peer_vote
 
-MAX_DATAGRAM_BYTES = 256  # as the protocol says
+# Maximum size of a datagram, as defined by the protocol.
+MAX_DATAGRAM_BYTES = 256
 
 
 class VoteGossip:
-    """Sends and receives votes; a datagram counts for its sender's address alone.
+    """Sends votes to peers and receives votes from them.
+
+    The address from which a datagram arrives determines the peer whose vote it is.
 
-    `peer_addresses` are in the order of the instances' numbers.
+    Attributes:
+        runtime: runtime of the instance.
+        datagrams: socket of the instance.
+        peer_addresses: addresses of all instances in the order of their numbers.
+        peer_numbers: numbers of the instances by address.
     """
 
     def __init__(self, runtime: BufferedRuntime, datagrams: Datagrams, peer_addresses: list[str]) -> None:
@@ -26,21 +36,21 @@
         self.peer_numbers = {address: number for number, address in enumerate(peer_addresses)}
 
     def gossip_vote(self, peer: int, build: int, stage: int, vote: Vote) -> None:
-        """Begin to send a vote to the instance with that number, if it is known."""
+        """Start sending a vote to the instance with number `peer`; an unknown number is ignored."""
         if 0 <= peer < len(self.peer_addresses):
             self.runtime.task_group.start_soon(
                 self.send, peer, encode_peer_vote(PeerVote(build, stage, vote))
             )
 
     async def send(self, peer: int, text: str) -> None:
-        """Send one datagram; a failure is logged."""
+        """Send one datagram and log a failure."""
         try:
             await self.datagrams.send(text.encode(), self.peer_addresses[peer])
         except STREAM_ERRORS as error:
             self.runtime.log_event(LogEvent.PEER_UNREACHABLE, peer=peer, reason=type(error).__name__)
 
     async def receive_forever(self) -> None:
-        """Receive until cancelled or the socket breaks; what is no peer's vote is dropped."""
+        """Receive votes until cancelled or the socket fails. Invalid datagrams are dropped."""
         try:
             while True:
                 data, source = await self.datagrams.receive()
@@ -53,7 +63,7 @@
                 await self.datagrams.aclose()
 
     def handle_datagram(self, data: bytes, source: str) -> None:
-        """Pass a peer's vote on to the router."""
+        """Pass a peer's vote to the router, and ignore any other datagram."""
         peer = self.peer_numbers.get(source)
         if peer is None or len(data) > MAX_DATAGRAM_BYTES:
             return
