--- a/tests/platform/test_descriptor_shortage.py
+++ b/tests/platform/test_descriptor_shortage.py
@@ -1,4 +1,4 @@
-"""The real process has no descriptor left for a while (EMFILE): connections wait and get their answers."""
+"""Tests that connections wait and get responses while the real process has no free descriptor (EMFILE)."""
 
 from __future__ import annotations
 
@@ -10,21 +10,23 @@
 from tests.support.platform_world import ProxyProcess, World, configuration, request_bytes, server_answering
 
 CLIENT_COUNT = 12
-SERVER_COUNT = 4  # one has room for four requests at once
+# Each server can process four requests at once.
+SERVER_COUNT = 4
 SHORTAGE_SECONDS = 0.4
-RESPONSE_TIMEOUT_SECONDS = 0.5  # once descriptors are back
+# Time for the responses once descriptors are available again.
+RESPONSE_TIMEOUT_SECONDS = 0.5
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 def set_descriptor_limit(pid: int, limit: int) -> int:
-    """Set the limit of a running process; returns the one before."""
+    """Set the descriptor limit of a running process and return the previous limit."""
     previous_limit, hard = resource.prlimit(pid, resource.RLIMIT_NOFILE)
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (limit, hard))
     return previous_limit
 
 
 def test_connections_wait_for_a_free_descriptor_and_then_get_a_response(tmp_path: Path) -> None:
-    """Guards against the event loop's way out of EMFILE: it accepts what waits and closes it."""
+    """Guards against the event loop's handling of EMFILE: it accepts waiting connections and closes them."""
 
     async def send_request(proxy: ProxyProcess, number: int) -> bytes:
         request_timeout = SHORTAGE_SECONDS + 2.0
@@ -51,7 +53,7 @@
             set_descriptor_limit(pid, previous_limit)
             completed, pending = await asyncio.wait(request_tasks, timeout=RESPONSE_TIMEOUT_SECONDS)
             assert not pending
-            # One that got in while no connection to a server could be opened is rejected: an answer too.
+            # A request accepted while no server connection can be opened is rejected with a 503 response.
             assert all(task.result().startswith((b"HTTP/1.1 200", b"HTTP/1.1 503")) for task in completed)
             assert (await send_request(proxy, CLIENT_COUNT)).startswith(b"HTTP/1.1 200")
         finally:
--- a/tests/platform/test_errors.py
+++ b/tests/platform/test_errors.py
@@ -1,4 +1,4 @@
-"""The errors' texts say what is wrong, and each error is a GullmountError."""
+"""Tests the texts of the errors and that each one is a GullmountError."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_fuzz.py
+++ b/tests/platform/test_fuzz.py
@@ -1,4 +1,8 @@
-"""Whatever comes from the platform's other parties: one answer, a close, one plain line; it goes on."""
+"""Fuzzes the configuration and the data that clients, servers, discovery and the release controller send.
+
+Invalid data must lead to an error response, a closed connection or a one-line error, and requests must still
+be served after it.
+"""
 
 from __future__ import annotations
 
@@ -74,7 +78,7 @@
 def test_changed_configuration_value_is_rejected_at_startup_or_works_with_requests(
     data: st.DataObject,
 ) -> None:
-    """Guards against a setting that is only found unfit once requests come, by an exception in the module."""
+    """Guards against an invalid value that passes validation and raises an exception once requests arrive."""
     changed_configuration = json.loads(json.dumps(configuration()))
     value_path = data.draw(st.sampled_from(VALUE_PATHS))
     parent = changed_configuration
@@ -110,7 +114,7 @@
     assert is_single_line_naming_the_file(error.value)
 
 
-# What is written on connections
+# Data written to connections
 
 FULL_LIST = json.dumps({"revision": 2, "complete": True, "members": [endpoint_entry("s-1", SERVER)]}).encode()
 DISCOVERY_RESPONSES = st.one_of(
@@ -178,7 +182,11 @@
 def run_scenario(
     peer_scripts: dict[int, Script], respond: ServerAnswer = answer_ok, data: bytes = b""
 ) -> list[bytes]:
-    """What a client got that wrote `data`; whatever it was, the next one is served."""
+    """Write `data` as one client and check that the next client gets a response.
+
+    `peer_scripts` replace discovery or the release controller, by port. Returns the chunks that the first
+    client received, followed by the response to the next one.
+    """
     received: list[bytes] = []
 
     async def act(scene: Scene) -> None:
@@ -208,8 +216,10 @@
 @few_examples
 @given(DISCOVERY_RESPONSES, st.booleans())
 def test_invalid_endpoint_list_leaves_the_known_server_in_use(discovery_bytes: bytes, closes: bool) -> None:
-    """Guards against a spoilt list that leaves a proxy without servers, or ends it: the server stays in use
-    for as long as the list that was whole a moment ago may be."""
+    """Guards against an invalid list that leaves the proxy without servers or ends the process.
+
+    The server stays in use for as long as the last valid list may be used.
+    """
     received_calls: list[bytes] = []
 
     async def discovery(stream: Stream) -> None:
@@ -227,7 +237,7 @@
 def test_requests_get_a_response_if_the_first_endpoint_list_is_invalid(
     discovery_bytes: bytes, closes: bool
 ) -> None:
-    """Nothing was known to be whole: requests are served by a list that came after all, or turned away."""
+    """No valid list is known yet. Requests are served once one arrives, and rejected with 503 before."""
     last_response = run_scenario({8101: make_writing_script([discovery_bytes], closes)})[-1]
     assert last_response.endswith(b"\r\n\r\nok") or last_response.startswith(b"HTTP/1.1 503")
 
@@ -243,7 +253,7 @@
 @many_examples
 @given(st.lists(REQUEST_PIECES | st.binary(max_size=8), min_size=1, max_size=9))
 def test_arbitrary_client_bytes_get_valid_responses_or_a_close(pieces: list[bytes]) -> None:
-    """No answer that is none, and none but a server's own body with 200; the next client is served."""
+    """Every response must be well formed, and a 200 must have the body of a server or of the health check."""
     *received, last_response = run_scenario({}, data=b"".join(pieces))
     assert last_response.endswith(b"\r\n\r\nok")
     text = b"".join(received)
--- a/tests/platform/test_http_adapter.py
+++ b/tests/platform/test_http_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's HTTP protocol: request metadata, outcomes and limits."""
+"""Tests the adapter for the platform's HTTP protocol: request metadata, outcomes and limits."""
 
 from __future__ import annotations
 
@@ -49,7 +49,10 @@
 
 
 def test_connection_limits_leave_descriptors_for_the_process_itself(tmp_path: Path) -> None:
-    """Discovery, control, votes, datagrams, signals and connections whose close is under way take some 30."""
+    """Guards against a shortage of descriptors for the process itself.
+
+    Discovery, the release controller, votes, datagrams, signals and connections being closed take about 30.
+    """
     adapter = make_adapter(tmp_path)
     assert adapter.downstream_limits.max_connections + adapter.upstream_limits.max_connections <= 256 - 40
     assert adapter.downstream_limits.max_connections > 256 / 3
--- a/tests/platform/test_json_log.py
+++ b/tests/platform/test_json_log.py
@@ -1,4 +1,4 @@
-"""Log lines: their keys, and the limit by event."""
+"""Tests the keys of log lines and the rate limit for each event."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_pauses.py
+++ b/tests/platform/test_pauses.py
@@ -1,4 +1,4 @@
-"""The real process is stopped at drawn moments and goes on (SIGSTOP, SIGCONT): all rules are kept."""
+"""Pauses the real process at random times (SIGSTOP, SIGCONT) and checks that no rule is violated."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
     run_seed,
 )
 
-RUN_SECONDS = 10.0  # s in which pauses begin
+# Time during which pauses start.
+RUN_SECONDS = 10.0
 PAUSE_SECONDS = (0.6, 3.0)
 
 
 @pytest.mark.parametrize(("program", "seed"), [("run", 3), ("run", 6), ("proxy", 1)])
 def test_pauses_of_the_process_break_no_rule(program: str, seed: int) -> None:
-    """Guards against requests that were read after a pause and taken for new: their clients had left."""
+    """Guards against a request that is read after a pause and treated as new although its client has left."""
     observations = run_seed(seed, RUN_SECONDS, PAUSE_SECONDS, program)
     all_violations = find_violations(observations)
     assert not all_violations and observations.pauses, all_violations
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -1,4 +1,4 @@
-"""The proxy on the platform: `run` as a process between scripted surroundings, and its readers alone."""
+"""Tests the platform's proxy as a process, with scripted servers, discovery and release controller."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     scenario: Callable[[World, ProxyProcess], Awaitable[None]],
     **configuration_changes: Any,
 ) -> bytes:
-    """A scene round a running proxy that knows a server for each script; what it logged."""
+    """Run a scenario against a proxy process with one server for each script, and return the log output."""
 
     async def run_with_doubles() -> bytes:
         world = World()
@@ -70,7 +70,7 @@
 def fixed_response_script(
     response_bytes: bytes, closes_connection: bool = False, received_requests: list[bytes] | None = None
 ) -> Script:
-    """Writes `answer` behind each request; `end` closes after it."""
+    """Return a server that writes `response_bytes` after each request, and may close the connection then."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -108,7 +108,10 @@
 def test_at_most_once_request_is_sent_again_only_if_it_provably_did_not_start(
     tmp_path: Path, response_bytes: bytes, closes_connection: bool, expected_status: int
 ) -> None:
-    """A non-retriable request goes out once wherever the answer does not prove that it never ran."""
+    """Guards against a second attempt of a request that may have run.
+
+    An at-most-once request is sent again only if the response proves that it did not start.
+    """
     received_requests: list[bytes] = []
 
     async def scenario(world: World, proxy: ProxyProcess) -> None:
@@ -119,9 +122,8 @@
     run_scenario(
         tmp_path, [fixed_response_script(response_bytes, closes_connection, received_requests)], scenario
     )
-    assert len(received_requests) == (
-        4 if expected_status == 503 else 1
-    )  # a server that is full proves that it never ran
+    # The 503 with Not-Started proves that the request did not start.
+    assert len(received_requests) == (4 if expected_status == 503 else 1)
     assert b"POST /submit-exam HTTP/1.1\r\n" in received_requests[0] and received_requests[0].endswith(
         b"\r\n\r\nbody"
     )
@@ -207,7 +209,8 @@
         assert status(await proxy.request(request_bytes("b1"))) == 200
 
     run_scenario(tmp_path, [server_answering(OK, seen=received_requests)], scenario)
-    assert len(received_requests) == 1  # nothing of it reached a server
+    # Only the valid request reached the server.
+    assert len(received_requests) == 1
 
 
 def test_request_id_in_flight_or_recently_used_is_rejected(tmp_path: Path) -> None:
@@ -238,7 +241,8 @@
         )
         bodies = [(await read_message(reader))[1] for _ in range(4)]
         assert bodies == [b"a0", b"a1", b"a2", b"a3"]
-        assert status((await read_message(reader))[0]) == 400  # no Host
+        # The last request has no Host header.
+        assert status((await read_message(reader))[0]) == 400
         assert await reader.read() == b""
 
     run_scenario(tmp_path, [echo], scenario)
@@ -249,9 +253,8 @@
         silent_connections = [await proxy.connect() for _ in range(300)]
         for number in range(10):
             assert status(await proxy.request(request_bytes(f"a{number}"))) == 200
-            await asyncio.sleep(
-                CONNECTION_REUSE_DELAY_SECONDS
-            )  # sooner, each would get a connection of its own
+            # Without this delay each request would use a new server connection.
+            await asyncio.sleep(CONNECTION_REUSE_DELAY_SECONDS)
         assert len(list(Path(f"/proc/{proxy.process.pid}/fd").iterdir())) < 0.55 * 256
         await asyncio.sleep(2.8)
         assert all([await reader.read() == b"" for reader, _ in silent_connections])
@@ -293,18 +296,21 @@
     run_scenario(tmp_path, [unresponsive_server], scenario)
 
 
-# Start, signals, surroundings
+# Startup, signals, discovery and release controller
 
 
 def test_process_does_not_import_numpy_pydantic_or_trio() -> None:
-    """Guards against 12 MB and 0.1 s more in each of hundreds of instances; the smallest have 32 MB."""
+    """Guards against imports that cost 12 MB and 0.1 s in each of hundreds of instances.
+
+    The smallest instances have 32 MB.
+    """
     code = "import sys, gullmount.platform.__main__; print({'numpy', 'pydantic', 'trio'} & {*sys.modules})"
     loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert loaded.stdout == "set()\n"
 
 
 def test_votes_of_several_peers_count_and_invalid_datagrams_are_dropped(tmp_path: Path) -> None:
-    """Votes pooled over real datagrams: one peer's decides nothing, those of many do."""
+    """The vote of one peer, sent in a real datagram, must not decide; the votes of many peers must."""
     settings = {**configuration()["settings"], "Siblings": 60}
     peers = [f"{HOST}:{8103 + number}" for number in range(60)]
 
@@ -328,7 +334,8 @@
             unknown_sender.sendto(b"42 0 3", gossip_address)
         senders[0].sendto(b"42 0 3", gossip_address)
         await asyncio.sleep(0.5)
-        assert not world.votes  # one peer's alone, noise and strangers' decide nothing
+        # One peer's vote, invalid datagrams and votes of unknown senders decide nothing.
+        assert not world.votes
         for sender in senders:
             sender.sendto(b"42 0 3", gossip_address)
         async with asyncio.timeout(3):
@@ -342,7 +349,7 @@
 
 
 def test_memory_and_descriptors_stay_bounded_while_ids_and_servers_keep_changing(tmp_path: Path) -> None:
-    """Ids, keys, bodies, connections, servers and builds that never come again: none is kept for good."""
+    """Guards against leaks of ids, keys, bodies, connections, servers and builds that are used only once."""
 
     def read_memory_and_descriptors(proxy: ProxyProcess) -> tuple[float, int]:
         pages = int(Path(f"/proc/{proxy.process.pid}/statm").read_text().split()[1])
@@ -365,7 +372,10 @@
             writer.close()
 
         async def replace_builds_and_send_requests(build: int) -> None:
-            """Servers with new ids at the old addresses; one runs a new build on trial, then all do."""
+            """List servers with new ids at the old addresses and send requests.
+
+            First one server runs the new build as a candidate, then all servers run it.
+            """
             for updated_server_count, status_format in (
                 (1, b"%d 0 IN_PROGRESS 0.056 1"),
                 (len(addresses), b"%d 2 COMPLETE 1.0 1"),
@@ -384,8 +394,10 @@
                 await asyncio.gather(*(client() for _ in range(8)))
 
         async def measure_at_rest(build: int) -> tuple[float, int]:
-            """What is held once the servers of the last requests are gone, and with them the connections:
-            how many there were is a matter of how fast the requests came."""
+            """Return memory and descriptors after the servers of the last requests are gone.
+
+            Their connections are closed by then, whose number depends on the speed of the requests.
+            """
             world.members = [
                 endpoint_entry(f"r-{build}-{number}", addresses[number], build)
                 for number in range(len(addresses))
@@ -405,7 +417,7 @@
             await replace_builds_and_send_requests(build)
         memory_after, descriptors_after = await measure_at_rest(59)
         assert completed > 0.9 * count
-        # What was seen in the last 20 s takes some 3 MB; the requests and what came with them were 33 MB.
+        # State kept from the last 20 s takes about 3 MB. The requests and the data sent with them took 33 MB.
         assert memory_after - memory_before < 8 and descriptors_after - descriptors_before < 12, (
             memory_before,
             memory_after,
@@ -415,7 +427,11 @@
 
 
 def test_sigterm_keeps_accepting_for_a_while_and_loses_no_request(tmp_path: Path) -> None:
-    """Requests in flight, on kept connections and on new ones for 0.4 s are answered; then it exits 0."""
+    """Guards against requests that are lost at shutdown.
+
+    Requests in flight, on open connections and on new connections within 0.4 s of SIGTERM get responses. Then
+    the process exits with status 0.
+    """
 
     async def scenario(world: World, proxy: ProxyProcess) -> None:
         reader, writer = await proxy.connect()
@@ -445,7 +461,8 @@
         await world.serve_platform(8111, 8112)
         answers_before, stream_count_before = world.list_answers, len(world.status_streams)
         proxy.path.write_text("{")
-        proxy.process.send_signal(signal.SIGHUP)  # cannot be read: the old one stays
+        # The file is invalid, so the old configuration stays.
+        proxy.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.2)
         assert len(world.status_streams) == stream_count_before
         new_configuration = {**proxy.configuration, "discovery": f"{HOST}:8111"}
--- a/tests/platform/test_release_controller.py
+++ b/tests/platform/test_release_controller.py
@@ -1,4 +1,4 @@
-"""The client of the release controller: votes and status lines that cross, moves and resets."""
+"""Tests the release controller client: concurrent votes and status lines, address changes and resets."""
 
 from __future__ import annotations
 
@@ -33,7 +33,10 @@
 
 @pytest.mark.parametrize("order", ["news first", "answer first"])
 def test_late_vote_response_does_not_undo_a_rollback(tmp_path: Path, order: str) -> None:
-    """The answer was written before the build went back and is read after that, on another connection."""
+    """Guards against a vote response that reverts a newer status.
+
+    The response is written before the build is rolled back, and read after that on another connection.
+    """
 
     async def scenario() -> None:
         with listener(RELEASE_CONTROLLER_PORT) as controller_socket:
@@ -54,9 +57,8 @@
                         lambda: proxy_router.releases.candidates[-1].phase is ReleasePhase.ROLLING_BACK
                     )
                     vote_connection.sendall(b"OK 42 1 IN_PROGRESS 0.35 900\r\n")
-                await wait_until(
-                    lambda: is_readable(vote_connection)
-                )  # its connection was ended: the answer has been read
+                # The proxy closes the vote's connection once it has read the response.
+                await wait_until(lambda: is_readable(vote_connection))
                 await wait_until(
                     lambda: proxy_router.releases.candidates[-1].phase is ReleasePhase.ROLLING_BACK
                 )
--- a/tests/platform/test_release_protocol.py
+++ b/tests/platform/test_release_protocol.py
@@ -1,4 +1,4 @@
-"""The release controller's status lines."""
+"""Tests the parsing of release statuses."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_request_ids.py
+++ b/tests/platform/test_request_ids.py
@@ -1,4 +1,4 @@
-"""Ids of requests, remembered in bounded memory."""
+"""Tests that recent request ids are remembered in bounded memory."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak in short: two seeds on the real process, and planted breaches that its checker finds."""
+"""Runs a short soak of the real process with two seeds, and tests the checks on planted violations."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 
 from tests.support.soak import Drain, ObservedTraffic, check_drains, check_unsafe_requests, run_seed
 
-RUN_SECONDS = 25.0  # s of lives
+# Time during which processes are started and ended.
+RUN_SECONDS = 25.0
 
 
 @pytest.mark.parametrize("seed", [3, 4])
