--- a/tests/support/pause_sweep.py
+++ b/tests/support/pause_sweep.py
@@ -1,14 +1,15 @@
-"""Pauses the real process at drawn moments (SIGSTOP) beside drains and a release, and checks the rules.
+"""Pauses the real process at random times (SIGSTOP) during drains and a release, and checks the rules.
 
     python -m tests.support.pause_sweep --seeds 50 --first 1 [--program proxy]
 
-One seed gives one schedule. Clients have little patience and close at its end. Checked from outside:
+Each seed determines one schedule. Clients have short timeouts and close the connection when one expires. The
+sweep checks these rules from what clients, servers and discovery observe:
 
-- lost: an attempt reached a server over 0.1 s after its client had closed;
-- told: a server was told that there is more time than is left to the client;
-- drain: a request reached a server over the grace after discovery had written that it drains;
-- exposure: within any window a build on trial got more attempts than its limit allows;
-- run twice: an unsafe request reached servers twice.
+- lost: no attempt reaches a server more than 0.1 s after its client closed the connection.
+- told: the timeout that a server receives is not longer than the time left to the client.
+- drain: no request reaches a server after the grace period that follows discovery's notice of its drain.
+- exposure: in no window does a candidate get more attempts than its limit allows.
+- run twice: an unsafe request reaches servers at most once.
 """
 
 from __future__ import annotations
@@ -46,22 +47,34 @@
 from tests.support.proxy_edge import make_proxy_config
 from tests.support.soak import Drain, ObservedTraffic, check_drains, check_unsafe_requests
 
-CLOSE_REACTION_SECONDS = 0.1  # from a client's close to an attempt that begins, as the page has it
-OBSERVATION_SLACK_SECONDS = 0.03  # of our notes of a client's close and of what reached a server
-TIMEOUT_SLACK_SECONDS = 0.1  # of the time that a server is told, its way to the server included
-CLIENT_TIMEOUT_SECONDS = (0.3, 1.1)  # of clients
+# Maximum time from a client's close to the start of an attempt, as the users' page defines it.
+CLOSE_REACTION_SECONDS = 0.1
+# Tolerance for the recorded times of a client's close and of requests at servers.
+OBSERVATION_SLACK_SECONDS = 0.03
+# Tolerance for the timeout that a server receives. It includes the transfer to the server.
+TIMEOUT_SLACK_SECONDS = 0.1
+# Range of the clients' timeouts.
+CLIENT_TIMEOUT_SECONDS = (0.3, 1.1)
+# Durations of pauses.
 PAUSE_SECONDS = (0.05, 0.15, 0.3, 0.6, 1.0, 2.0, 3.0, 6.0)
 CLIENT_COUNT, CROWD_CLIENT_COUNT = 20, 60
 SERVER_COUNT = 4
 FIRST_PORT = 8300
 BASELINE_BUILD, CANDIDATE_BUILD = 41, 42
 EXPOSURE_LIMIT, WINDOW_SECONDS, SPARE_ATTEMPTS = 0.056, 3.0, 2.0
-WINDOW_SLACK_SECONDS = 0.06  # between a request's sending and our note of it, and likewise of an attempt
+# Tolerance for the time between sending a request or an attempt and recording it.
+WINDOW_SLACK_SECONDS = 0.06
 
 
 @dataclass
 class ClientRequest:
-    """A request with the times at which its client sent it, and gave it up."""
+    """A request as its client recorded it.
+
+    Attributes:
+        sent_at: time at which the client sent the request, in seconds.
+        client_timeout: the client's timeout in seconds.
+        closed_at: time at which the client gave up and closed the connection, or None.
+    """
 
     sent_at: float
     client_timeout: float
@@ -70,7 +83,14 @@
 
 @dataclass
 class ObservedAttempt:
-    """An attempt as a server saw it; `told_seconds` that it may take."""
+    """An attempt as a server observed it.
+
+    Attributes:
+        at: time at which the attempt reached the server, in seconds.
+        server: id of the server.
+        request: id of the request.
+        server_timeout: timeout that the server received, in seconds.
+    """
 
     at: float
     server: str
@@ -80,7 +100,15 @@
 
 @dataclass
 class Observations:
-    """What the outside saw."""
+    """What clients, servers and discovery observe during one run.
+
+    Attributes:
+        traffic: the observations that the soak test makes as well.
+        requests: the clients' requests by request id.
+        attempts: the attempts that reached servers.
+        candidates: ids of the servers that run the candidate.
+        pauses: durations of the pauses in seconds.
+    """
 
     traffic: ObservedTraffic = field(default_factory=ObservedTraffic)
     requests: dict[str, ClientRequest] = field(default_factory=dict)
@@ -90,7 +118,7 @@
 
 
 def check_attempts_after_close(observations: Observations) -> list[str]:
-    """Attempts that began after their client had closed."""
+    """Return the violations by attempts that start after their client closed the connection."""
     delays = []
     for attempt in observations.attempts:
         closed = observations.requests[attempt.request].closed_at
@@ -100,7 +128,7 @@
 
 
 def check_server_timeouts(observations: Observations) -> list[str]:
-    """Attempts whose server was told of more time than their clients had."""
+    """Return the violations by attempts whose server received a longer timeout than its client had left."""
     excesses = []
     for attempt in observations.attempts:
         request = observations.requests[attempt.request]
@@ -111,7 +139,7 @@
 
 
 def check_exposure(observations: Observations) -> list[str]:
-    """Windows in which a build on trial got more attempts than its limit allows."""
+    """Return the violation by the window in which a candidate most exceeds its exposure limit."""
     sent = sorted(request.sent_at for request in observations.requests.values())
     attempts = sorted(
         observed.at for observed in observations.attempts if observed.server in observations.candidates
@@ -126,7 +154,7 @@
 
 
 def find_violations(observations: Observations) -> list[str]:
-    """All breaches, in words."""
+    """Return descriptions of all violations."""
     timing_violations = (
         check_attempts_after_close(observations)
         + check_server_timeouts(observations)
@@ -141,7 +169,7 @@
 
 
 class PauseSweep:
-    """One run by one seed."""
+    """Runs the schedule of one seed against the platform's `run` command."""
 
     def __init__(self, seed: int, seconds: float, pauses: tuple[float, ...] = PAUSE_SECONDS) -> None:
         self.random = Random(seed)
@@ -154,14 +182,15 @@
         self.stopping = False
         self.request_count = 0
 
-    # Doubles
+    # Test doubles
 
     def server(self, server_id: str) -> Any:
         async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_message(reader)
                 seconds_waited = seconds_since_data(writer.get_extra_info("socket").fileno())
-                now = time.monotonic() - (seconds_waited or 0.0)  # this process may be late on a busy machine
+                # On a busy machine this process may read the request some time after its arrival.
+                now = time.monotonic() - (seconds_waited or 0.0)
                 request = re.findall(rb"(?i)request-id: (\S+)", head)[0].decode()
                 attempt_timeout = self.parse_server_timeout(head)
                 self.observations.attempts.append(ObservedAttempt(now, server_id, request, attempt_timeout))
@@ -176,7 +205,7 @@
 
     async def discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         class RecordingWriter:
-            def write(_, data: bytes) -> None:  # noqa: N805 (the sweep is `self`)
+            def write(_, data: bytes) -> None:  # noqa: N805 (`self` is the sweep)
                 self.observations.traffic.list_responses.append((time.monotonic(), self.world.revision))
                 writer.write(data)
 
@@ -189,7 +218,7 @@
             writer.write(b"OK\r\n* progress " + status if line == b"NOTIFY" else b"OK " + status)
 
     async def change_servers(self) -> None:
-        """Servers of the build that serves drain and come back; the first stays."""
+        """Let servers of the baseline drain and become ready again. The first server never drains."""
         while not self.stopping:
             await asyncio.sleep(self.random.uniform(0.5, 2.0))
             entry = self.random.choice(self.world.members[1:SERVER_COUNT])
@@ -217,7 +246,7 @@
             writer.transport.abort()
 
     async def send_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Whether the connection may carry another request; it is closed once patience ends."""
+        """Send a request and return whether the connection may be reused. It is closed on a timeout."""
         self.request_count += 1
         client_timeout = self.random.uniform(*CLIENT_TIMEOUT_SECONDS)
         safe = self.random.random() < 0.5
@@ -272,7 +301,7 @@
         return self.observations
 
     async def prepare(self, folder: Path) -> ProxyProcess:
-        """Begin discovery and release controller, and write the configuration."""
+        """Start discovery and the release controller, and write the configuration."""
         await self.world.serve(8101, self.discovery)
         await self.world.serve(8102, self.control)
         release_status = {
@@ -309,7 +338,7 @@
             await self.pause(process)
         await asyncio.sleep(0.5)
         if process.returncode is not None:
-            self.observations.traffic.violations.append(f"ended with {process.returncode}")
+            self.observations.traffic.violations.append(f"exited with status {process.returncode}")
         process.terminate()
         if self.pause_random.random() < 0.5:
             await self.pause(process)
@@ -323,7 +352,10 @@
 
 
 class GenericPauseSweep(PauseSweep):
-    """The same of `gullmount proxy`, which speaks the generic protocols and does not tell servers a time."""
+    """Runs the schedule against `gullmount proxy`.
+
+    Its generic protocols send no timeout to servers.
+    """
 
     def parse_server_timeout(self, head: bytes) -> float:
         return 0.0
@@ -334,7 +366,7 @@
         return f"{head}X-Key: {key}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
     async def watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Discovery: all endpoints whenever they change."""
+        """Serve discovery: send all endpoints after each change, and at least once per second."""
         await read_message(reader)
         writer.write(b"HTTP/1.1 200 OK\r\n\r\n")
         while not writer.transport.is_closing():
--- a/tests/support/soak.py
+++ b/tests/support/soak.py
@@ -1,16 +1,23 @@
-"""A soak of the real process: faults at discovery, signals in series, clients that use open connections.
+"""Runs a soak test of the real process with discovery faults, signals and persistent client connections.
 
     python -m tests.support.soak --seeds 50 --first 1
 
-One seed gives one schedule. A run starts `run` beside our doubles of servers, discovery and release
-controller, plays some lives of it (SIGTERM with SIGKILL at the page's earliest, SIGHUP beside it, SIGKILL,
-SIGTERM while starting) and checks from outside what clients, servers and discovery saw:
+Each seed determines one schedule. The soak starts the `run` command beside test doubles of servers, discovery
+and the release controller. It starts and ends the process several times:
 
-- lost: a request written to an accepted connection got no final answer; on a kept connection that is closed
-  without one the client sends it once more on a new one, as the page has it, and that one must be answered;
-- run twice: an unsafe request reached servers twice;
-- drain: a request reached a server later than the grace after it counts as told off;
-- readiness: a life took over 10 s until it answered for its health, though it was not ended before.
+- by SIGTERM, sometimes with SIGHUP as well; SIGKILL follows at the earliest time that the users' page allows;
+- by SIGKILL;
+- by SIGTERM during startup.
+
+It checks these rules from what clients, servers and discovery observe:
+
+- lost: a request written to an accepted connection gets a final response. If a reused connection is closed
+  without one, the client sends the request once more on a new connection, as the users' page defines. That
+  request must get a response.
+- run twice: an unsafe request reaches servers at most once.
+- drain: no request reaches a server after the grace period that starts when the proxy counts as notified of
+  the drain.
+- readiness: the process responds to health checks within 10 s of its start, unless it was ended before.
 """
 
 from __future__ import annotations
@@ -41,47 +48,67 @@
     request_bytes,
 )
 
-REFUSAL_DELAY_SECONDS = 2.0  # s after which a crowded discovery refuses
+# Delay after which an overloaded discovery service refuses a call.
+REFUSAL_DELAY_SECONDS = 2.0
+# Time after which the proxy counts as notified of a change at the latest, and the grace period after that in
+# which a request may still reach the server.
 NOTIFICATION_TIMEOUT_SECONDS, DRAIN_GRACE_SECONDS = (
     6.0,
     0.55,
-)  # s until a change counts as told at the latest; in which a send may still arrive
-KILL_DELAY_SECONDS = (
-    3.7  # s from SIGTERM to SIGKILL: deadlines of 3 s at most, and 0.7 s, the page's earliest
 )
-READY_TIMEOUT_SECONDS = 10.0  # s
+# Time from SIGTERM to SIGKILL: deadlines of at most 3 s plus 0.7 s. This is the earliest time that the users'
+# page allows.
+KILL_DELAY_SECONDS = 3.7
+READY_TIMEOUT_SECONDS = 10.0
 SERVER_COUNT = 5
 CLIENT_COUNT = 4
-RESPONSE_TIMEOUT_SECONDS = 3.0  # s of a request, and half a second after it
+# Time in which a response must arrive: the time of a request and half a second after it.
+RESPONSE_TIMEOUT_SECONDS = 3.0
 FAULTS = ("none", "none", "none", "none", "refused", "silent", "broken", "reset")
 FIRST_PORT = 8200
 
 
 @dataclass
 class Drain:
-    """A server that drains or leaves, with the time at which discovery has it."""
+    """A period in which discovery lists a server as draining.
+
+    Attributes:
+        server: id of the server.
+        started_at: time at which discovery has the change.
+        revision: revision of the endpoint list with the change.
+        ended_at: time at which the server is listed as ready again, or None.
+    """
 
     server: str
     started_at: float
     revision: int
-    ended_at: float | None = None  # when it was listed as ready again
+    ended_at: float | None = None
 
 
 @dataclass
 class ObservedTraffic:
-    """What the outside saw; times are seconds of the monotonic clock."""
+    """What clients, servers and discovery observe. Times are in seconds of the monotonic clock.
+
+    Attributes:
+        sends: time, server and request id of each request that reached a server.
+        list_responses: time and revision of each response of discovery.
+        drains: all drains, including those that have ended.
+        statuses: number of responses to clients by status code.
+        violations: descriptions of violated rules.
+    """
 
-    # time, server, request
     sends: list[tuple[float, str, str]] = field(default_factory=list)
-    # time, revision: answers of discovery
     list_responses: list[tuple[float, int]] = field(default_factory=list)
     drains: list[Drain] = field(default_factory=list)
     statuses: Counter[str] = field(default_factory=Counter)
-    violations: list[str] = field(default_factory=list)  # rules, in words
+    violations: list[str] = field(default_factory=list)
 
 
 def check_drains(traffic: ObservedTraffic) -> list[str]:
-    """Sends after the grace to a server that counts as told off: by a written answer, or 6 s later."""
+    """Return the violations by requests that reach a draining server after the grace period.
+
+    The proxy counts as notified once discovery has written a response with the change, or after 6 s.
+    """
     messages = []
     for drain in traffic.drains:
         response_times = [at for at, revision in traffic.list_responses if revision >= drain.revision]
@@ -99,16 +126,18 @@
 
 
 def check_unsafe_requests(traffic: ObservedTraffic) -> list[str]:
+    """Return the violations by unsafe requests that reach servers more than once."""
     counts = Counter(request for _, _, request in traffic.sends if request.startswith("unsafe"))
     return [f"run twice: {request}" for request, count in counts.items() if count > 1]
 
 
 class Soak:
-    """One run by one seed."""
+    """Runs the schedule of one seed."""
 
     def __init__(self, seed: int, seconds: float) -> None:
         self.random = Random(seed)
-        # Streams of their own: by a shared one the load of the machine decided which faults and lives came.
+        # Faults and process lifetimes have random streams of their own. With a shared stream the load of the
+        # machine decided which of them were drawn.
         self.fault_random = Random(f"faults {seed}")
         self.lifetime_random = Random(f"lives {seed}")
         self.seconds = seconds
@@ -116,10 +145,11 @@
         self.world = World()
         self.fault = "none"
         self.stopping = False
-        self.accepting_requests = False  # a life is ready and was not told to end
+        # True while the process is ready and has not been asked to end.
+        self.accepting_requests = False
         self.request_count = 0
 
-    # Doubles
+    # Test doubles
 
     def server(self, server_id: str):  # type: ignore[no-untyped-def]
         response_delay = self.random.choice((0.0, 0.0, 0.05, 0.3))
@@ -164,7 +194,7 @@
             writer.write(data)
 
     async def change_servers(self) -> None:
-        """Servers drain and come back, one at a time; one at least stays."""
+        """Let servers drain and become ready again, one change at a time. The first server never drains."""
         while not self.stopping:
             await asyncio.sleep(self.random.uniform(1.0, 3.0))
             entry = self.random.choice(self.world.members[1:])
@@ -185,7 +215,7 @@
     # Clients
 
     async def client(self, proxy: ProxyProcess) -> None:
-        """Asks on one connection for as long as that stays open, also while the process is told to end."""
+        """Send requests on one connection while it stays open, also while the process shuts down."""
         while not self.stopping:
             if not self.accepting_requests:
                 await asyncio.sleep(0.05)
@@ -214,7 +244,7 @@
     async def send_request(
         self, proxy: ProxyProcess, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, first: bool
     ) -> bool:
-        """Whether the connection may carry another request."""
+        """Send a request and return whether the connection may be reused. `first` marks a new connection."""
         request_id, data = self.request()
         head = await self.receive_response_head(reader, writer, data)
         if head is None and not self.killed():
@@ -224,7 +254,8 @@
             try:
                 new_connection = await proxy.connect()
             except OSError:
-                return False  # nobody listens: the request was not taken
+                # The process no longer listens, so it has not accepted the request.
+                return False
             head = await self.receive_response_head(*new_connection, data)
             new_connection[1].close()
             if head is None and not self.killed():
@@ -245,10 +276,13 @@
         return head
 
     def killed(self) -> bool:
-        """SIGKILL is the page's own loss: what it finds unanswered is no fault of a process told to end."""
+        """Return whether the process was ended by SIGKILL.
+
+        By the users' page, requests that SIGKILL leaves without a response are no violation.
+        """
         return self.was_killed
 
-    # Lives
+    # Process lifetimes
 
     async def run_lifetime(self, proxy: ProxyProcess, seconds: float, ending: str) -> None:
         self.was_killed = False
@@ -271,7 +305,8 @@
                 process.terminate()
                 if self.random.random() < 0.5:
                     process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(0.3)  # clients still come
+                # Clients still connect in this time.
+                await asyncio.sleep(0.3)
                 self.accepting_requests = False
         try:
             await asyncio.wait_for(process.wait(), KILL_DELAY_SECONDS)
@@ -279,11 +314,11 @@
             self.was_killed = True
             process.kill()
             await process.wait()
-            self.traffic.violations.append("did not end before SIGKILL")
-        # Before the program's first line SIGTERM ends the interpreter, as any: nobody was let in by then.
+            self.traffic.violations.append("did not exit before SIGKILL")
+        # Before the program's first line SIGTERM ends the interpreter. No client was accepted by then.
         expected_exit_codes = (0, -signal.SIGTERM) if ending == "term while starting" else (0,)
         if ending != "kill" and process.returncode not in expected_exit_codes:
-            self.traffic.violations.append(f"ended with {process.returncode} at {ending}")
+            self.traffic.violations.append(f"exited with status {process.returncode} after {ending}")
         log.close()
         await asyncio.sleep(0.3)
 
@@ -297,7 +332,7 @@
             except OSError:
                 pass
             if process.returncode is not None:
-                self.traffic.violations.append("ended as it started")
+                self.traffic.violations.append("exited during startup")
                 return
             await asyncio.sleep(0.05)
         if time.monotonic() - launched_at > READY_TIMEOUT_SECONDS:
