--- a/tests/platform/test_errors.py
+++ b/tests/platform/test_errors.py
@@ -1,4 +1,4 @@
-"""The errors' texts say what is wrong, and each error is a GullmountError."""
+"""Tests the texts of the errors and that each one is a GullmountError."""
 
 from __future__ import annotations
 
@@ -39,5 +39,5 @@
         (UnexpectedReplyError("ERR BUSY"), "unexpected reply 'ERR BUSY'"),
     ],
 )
-def test_an_errors_text_says_what_is_wrong(error: GullmountError, text: str) -> None:
+def test_error_text_describes_the_problem(error: GullmountError, text: str) -> None:
     assert str(error) == text and isinstance(error, GullmountError)
