--- a/gullmount/distribution/acknowledgements.py
+++ b/gullmount/distribution/acknowledgements.py
@@ -27,13 +27,13 @@
         self.rejections: dict[str, Rejection] = {}
         self.unconfirmed: dict[str, None] = {}
 
-    def applied(self, topic: str, version: Version) -> None:
+    def record_applied(self, topic: str, version: Version) -> None:
         """Note that a version is in force."""
         self.in_force[topic] = version
         self.rejections.pop(topic, None)
         self.unconfirmed[topic] = None
 
-    def rejected(self, topic: str, version: Version, reason: str) -> None:
+    def record_rejected(self, topic: str, version: Version, reason: str) -> None:
         """Note that a version can't be used; what was in force before stays so."""
         self.rejections[topic] = Rejection(*version, reason[:MAX_REASON_CHARACTERS])
         self.unconfirmed[topic] = None
--- a/gullmount/distribution/decoding.py
+++ b/gullmount/distribution/decoding.py
@@ -11,7 +11,11 @@
 import msgspec
 
 from gullmount.distribution.errors import MalformedMessageError
-from gullmount.distribution.in_force_summary import MAX_NAMES, MAX_REASON_CHARACTERS, InForceSummary
+from gullmount.distribution.in_force_summary import (
+    MAX_LISTED_SUBSCRIBERS,
+    MAX_REASON_CHARACTERS,
+    InForceSummary,
+)
 from gullmount.distribution.messages import (
     HEARTBEAT_LINE_KIND,
     TOPIC_KINDS,
@@ -185,7 +189,7 @@
         summary.unusable_versions,
         summary.disconnected_names,
     )
-    if min(counts) < 0 or max(map(len, lists)) > MAX_NAMES:
+    if min(counts) < 0 or max(map(len, lists)) > MAX_LISTED_SUBSCRIBERS:
         raise MalformedMessageError("zones", "no such sum")
     for version in (summary.lowest, summary.lowest_used):
         if version is not None:
--- a/gullmount/distribution/encoding.py
+++ b/gullmount/distribution/encoding.py
@@ -20,7 +20,9 @@
     return msgspec.json.encode(message)
 
 
-def extension(subscriber: str, held: dict[str, Version], unsubscribe: Iterable[str] = ()) -> SubscribeRequest:
+def extension_request(
+    subscriber: str, held: dict[str, Version], unsubscribe: Iterable[str] = ()
+) -> SubscribeRequest:
     """The request that changes the topics of the current stream."""
     return SubscribeRequest(subscriber, held=held, extends=True, unsubscribe=list(unsubscribe))
 
--- a/gullmount/distribution/in_force_summary.py
+++ b/gullmount/distribution/in_force_summary.py
@@ -13,7 +13,7 @@
 
 from gullmount.distribution.versions import Version
 
-MAX_NAMES = 20  # subscribers named in one list; beyond, they are counted only
+MAX_LISTED_SUBSCRIBERS = 20  # subscribers named in one list; beyond, they are counted only
 MAX_REASON_CHARACTERS = 100
 REPORT_GRACE_SECONDS = 5.0  # without a report, after which a relay's subscribers are taken for gone elsewhere
 
@@ -67,7 +67,7 @@
     return min(one, other)
 
 
-def merged(summaries: Iterable[InForceSummary]) -> InForceSummary:
+def merge_summaries(summaries: Iterable[InForceSummary]) -> InForceSummary:
     """The summary of all their subscribers; one that two of them count is counted twice."""
     subscribers = starting = behind = unusable = disconnected = 0
     lowest: Version | None = None
@@ -96,9 +96,9 @@
         disconnected=disconnected,
         lowest=lowest,
         lowest_used=lowest_used,
-        behind_names=tuple(behind_names[:MAX_NAMES]),
-        unusable_versions=tuple(unusable_versions[:MAX_NAMES]),
-        disconnected_names=tuple(sorted(disconnected_names)[:MAX_NAMES]),
+        behind_names=tuple(behind_names[:MAX_LISTED_SUBSCRIBERS]),
+        unusable_versions=tuple(unusable_versions[:MAX_LISTED_SUBSCRIBERS]),
+        disconnected_names=tuple(sorted(disconnected_names)[:MAX_LISTED_SUBSCRIBERS]),
     )
 
 
@@ -138,4 +138,4 @@
         for report in self.relays.values():
             for zone, summary in report.zones.items():
                 by_zone.setdefault(zone, []).append(summary)
-        return {zone: merged(summaries) for zone, summaries in sorted(by_zone.items())}
+        return {zone: merge_summaries(summaries) for zone, summaries in sorted(by_zone.items())}
--- a/gullmount/distribution/subscriber.py
+++ b/gullmount/distribution/subscriber.py
@@ -85,7 +85,7 @@
             update = TopicUpdate(topic, known.version, entries, is_snapshot=True)
             self.store.apply(update, known.version)
             if self.store.version(topic) == known.version:
-                self.acknowledgements.applied(topic, known.version)
+                self.acknowledgements.record_applied(topic, known.version)
         self.acknowledgements.unconfirmed.clear()
 
     def on_updates(self, result: LineResult) -> None:
@@ -105,7 +105,7 @@
             else:
                 self.handler.apply_configuration(service, self.entries_of(update.topic))
         except UnusableUpdateError as error:
-            self.acknowledgements.rejected(update.topic, update.version, error.reason)
+            self.acknowledgements.record_rejected(update.topic, update.version, error.reason)
             self.log(
                 LogEvent.CONFIGURATION_UNUSABLE,
                 service=service,
@@ -113,7 +113,7 @@
                 reason=error.reason,
             )
         else:
-            self.acknowledgements.applied(update.topic, update.version)
+            self.acknowledgements.record_applied(update.topic, update.version)
 
     def entries_of(self, topic: str) -> dict[str, Any]:
         """All entries of a topic.
--- a/gullmount/distribution/subscriber_progress.py
+++ b/gullmount/distribution/subscriber_progress.py
@@ -9,7 +9,7 @@
 from heapq import nsmallest
 
 from gullmount.distribution.in_force_summary import (
-    MAX_NAMES,
+    MAX_LISTED_SUBSCRIBERS,
     InForceSummary,
     LaggingSubscriber,
     UnusableVersion,
@@ -96,13 +96,15 @@
         disconnected=len(disconnected),
         lowest=None if all_starting else lowest,
         lowest_used=None if all_starting else lowest_used,
-        behind_names=tuple(nsmallest(MAX_NAMES, behind, key=lambda lagging: (lagging[1], lagging[0]))),
+        behind_names=tuple(
+            nsmallest(MAX_LISTED_SUBSCRIBERS, behind, key=lambda lagging: (lagging[1], lagging[0]))
+        ),
         unusable_versions=tuple(
             nsmallest(
-                MAX_NAMES,
+                MAX_LISTED_SUBSCRIBERS,
                 unusable_versions,
                 key=lambda found: (found.version, found.subscriber, found.topic),
             )
         ),
-        disconnected_names=tuple(nsmallest(MAX_NAMES, disconnected)),
+        disconnected_names=tuple(nsmallest(MAX_LISTED_SUBSCRIBERS, disconnected)),
     )
--- a/gullmount/distribution/subscription_client.py
+++ b/gullmount/distribution/subscription_client.py
@@ -16,7 +16,7 @@
 
 from gullmount.distribution.acknowledgements import Acknowledgements
 from gullmount.distribution.decoding import MAX_LINE_BYTES
-from gullmount.distribution.encoding import encode, extension
+from gullmount.distribution.encoding import encode, extension_request
 from gullmount.distribution.http_interface import IN_FORCE_PATH, NOT_FOUND, OK, SUBSCRIBE_PATH
 from gullmount.distribution.log_events import LogEvent
 from gullmount.distribution.relay_selection import (
@@ -208,7 +208,7 @@
         due, removed = self.receiver.due_requests(self.clock()), self.topics_to_remove
         self.topics_to_remove = set()
         if due or removed:
-            request = extension(self.name, due, sorted(removed))
+            request = extension_request(self.name, due, sorted(removed))
             if await self.post(calls, relay, SUBSCRIBE_PATH, encode(request)) != OK:
                 self.reconnect()  # no such stream there, or a lost call: a new stream requests all
                 return True
--- a/tests/distribution/test_acknowledgements.py
+++ b/tests/distribution/test_acknowledgements.py
@@ -10,11 +10,11 @@
 def test_report_holds_what_is_not_confirmed_and_no_more() -> None:
     acknowledgements = Acknowledgements("u", "a")
     for revision in range(1, 100):
-        acknowledgements.applied(PAY, Version(EPOCH, revision))
+        acknowledgements.record_applied(PAY, Version(EPOCH, revision))
     sent = acknowledgements.next_report()
     assert sent is not None and sent.in_force == {PAY: (EPOCH, 99)}
-    acknowledgements.applied(PAY, Version(EPOCH, 100))
-    acknowledgements.rejected(CONFIG, Version(EPOCH, 100), "x" * 500)
+    acknowledgements.record_applied(PAY, Version(EPOCH, 100))
+    acknowledgements.record_rejected(CONFIG, Version(EPOCH, 100), "x" * 500)
     acknowledgements.confirm(sent)
     again = acknowledgements.next_report()
     assert (
@@ -24,6 +24,6 @@
     )
     acknowledgements.confirm(again)
     assert acknowledgements.next_report() is None
-    acknowledgements.applied(CONFIG, Version(EPOCH, 101))
+    acknowledgements.record_applied(CONFIG, Version(EPOCH, 101))
     last = acknowledgements.next_report()
     assert last is not None and last.rejections == {}
--- a/tests/distribution/test_in_force_summary.py
+++ b/tests/distribution/test_in_force_summary.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullmount.distribution.in_force_summary import InForceSummary, RelaySummaries, merged
+from gullmount.distribution.in_force_summary import InForceSummary, RelaySummaries, merge_summaries
 from gullmount.distribution.versions import Version
 
 versions = st.builds(Version, st.integers(1, 3), st.integers(0, 9))
@@ -25,10 +25,10 @@
     )
 )
 def test_summaries_merge_in_any_order(ones: list[InForceSummary]) -> None:
-    whole = merged(ones)
+    whole = merge_summaries(ones)
     half = len(ones) // 2
-    assert whole == merged(reversed(ones))
-    assert whole == merged([merged(ones[:half]), merged(ones[half:])])
+    assert whole == merge_summaries(reversed(ones))
+    assert whole == merge_summaries([merge_summaries(ones[:half]), merge_summaries(ones[half:])])
     known = [one.lowest for one in ones if one.lowest is not None]
     assert whole.lowest == min(known, default=None) and whole.subscribers == sum(
         one.subscribers for one in ones
--- a/tests/distribution/test_stored_state.py
+++ b/tests/distribution/test_stored_state.py
@@ -132,7 +132,7 @@
     ("name", "message"),
     [
         ("subscribe", subscribe_request()),
-        ("extend", encoding.extension("u-1", {"boxes/pay": NO_VERSION}, ["boxes/old"])),
+        ("extend", encoding.extension_request("u-1", {"boxes/pay": NO_VERSION}, ["boxes/old"])),
         (
             "acknowledgement",
             messages.AcknowledgementReport(
--- a/tests/distribution/test_subscriber_progress.py
+++ b/tests/distribution/test_subscriber_progress.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullmount.distribution.in_force_summary import InForceSummary, UnusableVersion, merged
+from gullmount.distribution.in_force_summary import InForceSummary, UnusableVersion, merge_summaries
 from gullmount.distribution.subscription import SubscriberProgress, Subscription
 from gullmount.distribution.subscriptions import Subscriptions
 from gullmount.distribution.topic_store import ApplyResult, TopicStore
@@ -187,7 +187,7 @@
     scene.change(("config/0", "k", 1))
     found = scene.subscriptions.summary()["a"]
     assert found.behind == 50 and [name for name, _ in found.behind_names] == [f"u-{n:02}" for n in range(20)]
-    both = merged([found, found])
+    both = merge_summaries([found, found])
     assert both.behind == 100 and len(both.behind_names) == 20
 
 
--- a/tests/support/interleaving_nodes.py
+++ b/tests/support/interleaving_nodes.py
@@ -334,9 +334,9 @@
 
     def apply(self, one: Any) -> None:
         if one.topic.startswith("config") and self.world.drawn(0.1):
-            self.acknowledgements.rejected(one.topic, one.version, "no such route")
+            self.acknowledgements.record_rejected(one.topic, one.version, "no such route")
         else:
-            self.acknowledgements.applied(one.topic, one.version)
+            self.acknowledgements.record_applied(one.topic, one.version)
 
 
 class RelayNode(SubscriberNode, ServerNode):
--- a/tests/support/subscription_scene.py
+++ b/tests/support/subscription_scene.py
@@ -110,7 +110,7 @@
             return []
         result = self.receivers[name].receive(batch.line, WALL)
         for one in result.updates:
-            self.acknowledgements[name].applied(one.topic, one.version)
+            self.acknowledgements[name].record_applied(one.topic, one.version)
         return [one["topic"] for one in json.loads(batch.line)["topics"]]
 
     def report(self, name: str) -> None:
