--- a/tests/distribution/test_subscriber_progress.py
+++ b/tests/distribution/test_subscriber_progress.py
@@ -98,7 +98,7 @@
     batch = scene.subscriptions.next_batch("u", scene.sessions["u"], 1000)
     assert batch is not None
     scene.receivers["u"].receive(batch.line, WALL)
-    scene.acknowledgements["u"].rejected("config/0", bad, "no such route: " + "x" * 500)
+    scene.acknowledgements["u"].record_rejected("config/0", bad, "no such route: " + "x" * 500)
     scene.report("u")
     found = scene.subscriptions.summary()["a"]
     assert found.unusable_versions == (
