--- a/gullmount/distribution/decoding.py
+++ b/gullmount/distribution/decoding.py
@@ -102,8 +102,8 @@
     now_ms = wall * 1000.0
     if not 0 <= epoch <= now_ms + MAX_EPOCH_LEAD_MS:
         raise MalformedMessageError("epoch", "from far ahead")
-    most = REVISION_ALLOWANCE + max(0.0, now_ms - epoch) * MAX_REVISIONS_PER_MS
-    if not 0 <= revision < MAX_REVISION or (epoch and revision > most):
+    max_revision = REVISION_ALLOWANCE + max(0.0, now_ms - epoch) * MAX_REVISIONS_PER_MS
+    if not 0 <= revision < MAX_REVISION or (epoch and revision > max_revision):
         raise MalformedMessageError("revision", "from far ahead")
 
 
--- a/gullmount/distribution/in_force_summary.py
+++ b/gullmount/distribution/in_force_summary.py
@@ -60,11 +60,11 @@
     disconnected_names: tuple[str, ...] = msgspec.field(name="gone_names", default=())
 
 
-def lower_version(one: Version | None, other: Version | None) -> Version | None:
+def lower_version(first: Version | None, second: Version | None) -> Version | None:
     """The lower of two versions; None is not known and counts for nothing."""
-    if one is None or other is None:
-        return other if one is None else one
-    return min(one, other)
+    if first is None or second is None:
+        return second if first is None else first
+    return min(first, second)
 
 
 def merge_summaries(summaries: Iterable[InForceSummary]) -> InForceSummary:
@@ -87,7 +87,13 @@
         unusable_versions += summary.unusable_versions
         disconnected_names += summary.disconnected_names
     behind_names.sort(key=lambda lagging: (lagging[1], lagging[0]))
-    unusable_versions.sort(key=lambda found: (found.version, found.subscriber, found.topic))
+    unusable_versions.sort(
+        key=lambda unusable_version: (
+            unusable_version.version,
+            unusable_version.subscriber,
+            unusable_version.topic,
+        )
+    )
     return InForceSummary(
         subscribers=subscribers,
         starting=starting,
--- a/gullmount/distribution/topic_log.py
+++ b/gullmount/distribution/topic_log.py
@@ -101,11 +101,11 @@
                 changes[key] = None if entry is None else entry[1]
         return changes
 
-    def prepare_rebase(self, before: TopicLog) -> None:
+    def record_rebase(self, before: TopicLog) -> None:
         """Remember what differs from the log that this one replaces, where that is less than half."""
-        old, new = before.snapshot(), self.snapshot()
-        keys = [key for key, value in new.items() if old.get(key) != value]
-        keys += [key for key in old if key not in new]
+        old_entries, new_entries = before.snapshot(), self.snapshot()
+        keys = [key for key, value in new_entries.items() if old_entries.get(key) != value]
+        keys += [key for key in old_entries if key not in new_entries]
         if len(keys) <= len(self.entries) // 2:
             self.rebase_from = before.version
             self.rebase_revision = self.version.revision
@@ -122,12 +122,12 @@
         """
         if not self.recent_changes or self.recent_changes[0][0] > version:
             return version
-        reached = version
+        in_force = version
         for before, complete in self.recent_changes:
             if before > version:
                 break
-            reached = complete
-        return max(version, reached)
+            in_force = complete
+        return max(version, in_force)
 
     def update_since(self, topic: str, held: Version, with_history: bool) -> TopicUpdate:
         """The update for one who holds version `held`: changes, or a snapshot where these are not known.
--- a/gullmount/distribution/topic_store.py
+++ b/gullmount/distribution/topic_store.py
@@ -112,8 +112,8 @@
             return ApplyResult.LOWER_EPOCH
         log = self.logs.get(topic)
         held = NO_VERSION if log is None else log.version
-        mends_gap = update.is_snapshot and topic in self.gaps
-        if update.version < held or (update.version == held and not mends_gap):
+        closes_gap = update.is_snapshot and topic in self.gaps
+        if update.version < held or (update.version == held and not closes_gap):
             return ApplyResult.STALE
         if not update.is_snapshot and not self.applies_on_top(update, held):
             self.mark_gap(topic)
@@ -171,7 +171,7 @@
         if before is not None:
             log.recent_changes.extend(before.recent_changes)
             log.recent_changes.append(RecentChange(before.version, complete_before))
-            log.prepare_rebase(before)
+            log.record_rebase(before)
         return log
 
     def note_progress(self, as_of: Version, complete: Version | None) -> bool:
@@ -204,7 +204,7 @@
         new_values: dict[tuple[str, str], bytes | None] = {}
         for topic, key, value in changes:
             new_values[topic, key] = None if value is None else msgspec.json.encode(value)
-        sizes = self.drop_unchanged(new_values)
+        sizes = self.drop_unchanged_values(new_values)
         for topic, size in sizes.items():
             if size > MAX_TOPIC_BYTES:
                 raise TopicTooLargeError(topic, size, MAX_TOPIC_BYTES)
@@ -220,7 +220,7 @@
         self.as_of = self.newest_seen = version
         return version, list(sizes)
 
-    def drop_unchanged(self, new_values: dict[tuple[str, str], bytes | None]) -> dict[str, int]:
+    def drop_unchanged_values(self, new_values: dict[tuple[str, str], bytes | None]) -> dict[str, int]:
         """Remove values that are held already; the size in bytes of each topic that changes."""
         sizes: dict[str, int] = {}
         for (topic, key), raw in list(new_values.items()):
--- a/gullmount/distribution/update_receiver.py
+++ b/gullmount/distribution/update_receiver.py
@@ -19,8 +19,8 @@
 from gullmount.distribution.versions import NO_VERSION, Version
 from gullmount.rpc.errors import InvalidMessageError
 
-REQUEST_RETRY_SECONDS = 3.0  # after which a requested snapshot that did not come is requested again
-MAX_REQUEST_DOUBLINGS = 4  # of that wait: a topic that can't be decoded comes whole each time
+SNAPSHOT_RETRY_SECONDS = 3.0  # after which a requested snapshot that did not come is requested again
+MAX_RETRY_DOUBLINGS = 4  # of that wait: a topic that can't be decoded comes whole each time
 MAX_ERRORS_LOGGED = 20  # different errors of one stream; all are counted
 
 
@@ -92,8 +92,8 @@
         self.store = store
         self.decode_values = decode_values
         self.counters = SubscriberCounters()
-        self.requests: dict[str, SnapshotRequest] = {}
-        self.errors_seen: set[str] = set()  # of this stream
+        self.snapshot_requests: dict[str, SnapshotRequest] = {}
+        self.logged_errors: set[str] = set()  # of this stream
 
     def receive(self, line: bytes, wall: float) -> LineResult:
         """Take in a line; `wall` is the time of the wall clock. Never raises: errors are counted."""
@@ -103,35 +103,35 @@
             message = decoding.parse_line(line, wall)
         except InvalidMessageError as error:
             counters.not_understood += 1
-            self.note_error(result, str(error))
+            self.record_error(result, str(error))
             return result
         result.sender_is_behind = message.as_of < self.store.newest_seen
         if not self.store.note_progress(message.as_of, None):
             counters.lower_epoch += 1
-            self.note_error(result, "epoch lower than one known")
+            self.record_error(result, "epoch lower than one known")
             return result
         if isinstance(message, HeartbeatLine):
             origin_is_lost = message.origin_silent_seconds >= MAX_LAG_SECONDS
             result.sender_is_behind = result.sender_is_behind or origin_is_lost
         else:
-            self.apply_all(message, result)
+            self.apply_updates(message, result)
         self.store.note_progress(message.as_of, None if message.more else message.complete)
         return result
 
-    def apply_all(self, message: UpdateLine, result: LineResult) -> None:
+    def apply_updates(self, message: UpdateLine, result: LineResult) -> None:
         """Apply a line's updates; the topics that could not be decoded are to be requested again."""
         for malformed in message.malformed:
             self.counters.not_understood += 1
-            self.note_error(result, malformed.problem)
+            self.record_error(result, malformed.problem)
             if self.store.mark_gap(malformed.topic):
                 result.touched_topics.append(malformed.topic)
         for update in message.updates:
             self.apply(update, message, result)
 
-    def note_error(self, result: LineResult, problem: str) -> None:
+    def record_error(self, result: LineResult, problem: str) -> None:
         """An error is logged once a stream."""
-        if problem not in self.errors_seen and len(self.errors_seen) < MAX_ERRORS_LOGGED:
-            self.errors_seen.add(problem)
+        if problem not in self.logged_errors and len(self.logged_errors) < MAX_ERRORS_LOGGED:
+            self.logged_errors.add(problem)
             result.errors.append(problem)
 
     def apply(self, update: TopicUpdate, message: UpdateLine, result: LineResult) -> None:
@@ -141,8 +141,8 @@
             case ApplyResult.APPLIED:
                 counters.snapshots += update.is_snapshot
                 counters.changes += not update.is_snapshot
-                self.requests.pop(update.topic, None)
-                result.updates.append(self.decoded(update))
+                self.snapshot_requests.pop(update.topic, None)
+                result.updates.append(self.decode_update(update))
                 result.touched_topics.append(update.topic)
             case ApplyResult.STALE:
                 counters.old += 1
@@ -151,11 +151,11 @@
                 result.touched_topics.append(update.topic)
             case ApplyResult.NOT_SUBSCRIBED:
                 counters.unasked += 1
-                self.note_error(result, "topic that is not subscribed to")
+                self.record_error(result, "topic that is not subscribed to")
             case ApplyResult.LOWER_EPOCH:
                 counters.lower_epoch += 1  # not reached: such a line is dropped whole
 
-    def decoded(self, update: TopicUpdate) -> AppliedUpdate:
+    def decode_update(self, update: TopicUpdate) -> AppliedUpdate:
         """The update with its values decoded, if they are to be."""
         entries: dict[str, Any | None] = {}
         if self.decode_values:
@@ -171,23 +171,23 @@
         stream is to be begun.
         """
         wanted = {*self.store.gaps, *self.store.never_received()}
-        earlier, self.requests = self.requests, {}
+        previous_requests, self.snapshot_requests = self.snapshot_requests, {}
         due = {}
         for topic in sorted(wanted):
-            request = earlier.get(topic, SnapshotRequest(now, 0))
+            request = previous_requests.get(topic, SnapshotRequest(now, 0))
             if request.attempts == 0 or self.is_overdue(topic, request, now):
                 due[topic] = NO_VERSION
                 request = SnapshotRequest(now, request.attempts + 1)
-            self.requests[topic] = request
+            self.snapshot_requests[topic] = request
         return due
 
     def is_overdue(self, topic: str, request: SnapshotRequest, now: float) -> bool:
         """Whether a topic with a gap is to be requested once more."""
-        wait = REQUEST_RETRY_SECONDS * 2 ** min(request.attempts - 1, MAX_REQUEST_DOUBLINGS)
+        wait = SNAPSHOT_RETRY_SECONDS * 2 ** min(request.attempts - 1, MAX_RETRY_DOUBLINGS)
         return topic in self.store.gaps and now - request.requested_at >= wait
 
     def stream_started(self, now: float) -> None:
         """A new stream was begun with what is held: all that is missing was requested by that."""
         missing = (*self.store.gaps, *self.store.never_received())
-        self.requests = dict.fromkeys(missing, SnapshotRequest(now, 1))
-        self.errors_seen.clear()
+        self.snapshot_requests = dict.fromkeys(missing, SnapshotRequest(now, 1))
+        self.logged_errors.clear()
--- a/tests/distribution/test_decoding.py
+++ b/tests/distribution/test_decoding.py
@@ -18,19 +18,19 @@
 from gullmount.distribution.update_receiver import UpdateReceiver
 from gullmount.distribution.versions import Version
 from gullmount.rpc import InvalidMessageError
-from tests.support.subscription_scene import CONFIG, EPOCH, FAULTY, PAY, WALL, update_line
+from tests.support.subscription_scene import CONFIG, EPOCH, MALFORMED_TOPICS, PAY, WALL, update_line
 
 
-def test_malformed_line_is_refused_with_its_field() -> None:
-    good = update_line(
+def test_malformed_line_is_refused_and_the_error_names_the_field() -> None:
+    valid_line = update_line(
         [{"topic": PAY, "version": [EPOCH, 3], "whole": True, "entries": {}}], Version(EPOCH, 3)
     )
-    assert isinstance(decoding.parse_line(good, WALL), messages.UpdateLine)
-    for line, why in (
-        (good[: len(good) // 2], "truncated|JSON"),
-        (good.replace(b'"v": 1', b'"v": 2'), "version: 2"),
-        (good.replace(b'"v": 1', b'"v": true'), "int"),
-        (good.replace(b'"kind": "told"', b'"kind": "x"'), "kind"),
+    assert isinstance(decoding.parse_line(valid_line, WALL), messages.UpdateLine)
+    for line, problem in (
+        (valid_line[: len(valid_line) // 2], "truncated|JSON"),
+        (valid_line.replace(b'"v": 1', b'"v": 2'), "version: 2"),
+        (valid_line.replace(b'"v": 1', b'"v": true'), "int"),
+        (valid_line.replace(b'"kind": "told"', b'"kind": "x"'), "kind"),
         (b" " * (decoding.MAX_LINE_BYTES + 1), "overlong"),
         (b"[" * 100_000, "LineHeader"),
         (b"\xff\xfe", "LineHeader"),
@@ -45,25 +45,25 @@
         (update_line([], Version(10**30, 1)), "epoch|int"),
         (b'{"v":1,"kind":"alive","as_of":[1,1],"stale":-1}', "stale"),
     ):
-        with pytest.raises(InvalidMessageError, match=why):
+        with pytest.raises(InvalidMessageError, match=problem):
             decoding.parse_line(line, WALL)
-    edge = Version(int(WALL * 1000) + decoding.MAX_EPOCH_LEAD_MS, 1)
-    assert decoding.parse_line(update_line([], edge), WALL).as_of == edge
+    highest_epoch = Version(int(WALL * 1000) + decoding.MAX_EPOCH_LEAD_MS, 1)
+    assert decoding.parse_line(update_line([], highest_epoch), WALL).as_of == highest_epoch
 
 
-ACKNOWLEDGEMENT_LINE = b'{"v":1,"follower":"u","in_force":{"boxes/pay":[1,2]}}'
+ACKNOWLEDGEMENT_BODY = b'{"v":1,"follower":"u","in_force":{"boxes/pay":[1,2]}}'
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.data())
-def test_random_corruption_raises_no_other_error(data: st.DataObject) -> None:
-    good = [
-        (lambda line: decoding.parse_line(line, WALL), update_line(FAULTY[:2], Version(EPOCH, 3))),
+def test_randomly_corrupted_message_raises_only_invalid_message_error(data: st.DataObject) -> None:
+    parsers_and_bodies = [
+        (lambda line: decoding.parse_line(line, WALL), update_line(MALFORMED_TOPICS[:2], Version(EPOCH, 3))),
         (
             lambda line: decoding.parse_subscribe_request(line, WALL),
             b'{"v":1,"follower":"u","zone":"a","have":{"boxes/pay":[1,2]},"unable":{"boxes/pay":[1,2,"x"]}}',
         ),
-        (lambda line: decoding.parse_acknowledgement(line, WALL), ACKNOWLEDGEMENT_LINE),
+        (lambda line: decoding.parse_acknowledgement(line, WALL), ACKNOWLEDGEMENT_BODY),
         (
             lambda line: decoding.parse_relay_summary(line, WALL),
             encoding.encode(messages.RelaySummaryReport("r", {"a": InForceSummary(1)})),
@@ -73,31 +73,31 @@
             b'{"v":1,"changes":[{"topic":"config/pay","key":"routes","value":{"a":[1]}}]}',
         ),
     ]
-    decode, line = data.draw(st.sampled_from(good))
-    decode(line)
-    spoilt = bytearray(line)
+    parse_message, line = data.draw(st.sampled_from(parsers_and_bodies))
+    parse_message(line)
+    corrupted = bytearray(line)
     for _ in range(data.draw(st.integers(1, 4))):
-        at = data.draw(st.integers(0, len(spoilt) - 1))
-        spoilt[at : at + data.draw(st.integers(0, 3))] = data.draw(st.binary(max_size=3))
-        if not spoilt:
+        at = data.draw(st.integers(0, len(corrupted) - 1))
+        corrupted[at : at + data.draw(st.integers(0, 3))] = data.draw(st.binary(max_size=3))
+        if not corrupted:
             break
     receiver = UpdateReceiver(TopicStore([PAY, CONFIG]))
-    receiver.receive(bytes(spoilt), WALL)
+    receiver.receive(bytes(corrupted), WALL)
     try:
-        decode(bytes(spoilt))
+        parse_message(bytes(corrupted))
     except InvalidMessageError:
         pass
 
 
 def test_malformed_request_is_refused() -> None:
-    many = {f"boxes/{number}": [0, 0] for number in range(20_001)}
-    for call, body in (
+    too_many = {f"boxes/{number}": [0, 0] for number in range(20_001)}
+    for parse, body in (
         (decoding.parse_subscribe_request, {"follower": "", "zone": "a"}),
         (decoding.parse_subscribe_request, {"follower": "u", "zone": ""}),
         (decoding.parse_subscribe_request, {"follower": "u\n", "zone": "a"}),
         (decoding.parse_subscribe_request, {"follower": "u", "zone": "a", "have": {"nothing": [0, 0]}}),
         (decoding.parse_subscribe_request, {"follower": "u", "zone": "a", "have": {PAY: [EPOCH, 2**53]}}),
-        (decoding.parse_subscribe_request, {"follower": "u", "zone": "a", "have": many}),
+        (decoding.parse_subscribe_request, {"follower": "u", "zone": "a", "have": too_many}),
         (decoding.parse_subscribe_request, {"follower": "u", "zone": "a", "as_of": [int(WALL * 1e3) * 2, 1]}),
         (decoding.parse_acknowledgement, {"follower": "u", "in_force": {PAY: [1]}}),
         (decoding.parse_acknowledgement, {"follower": "u", "unable": {PAY: [EPOCH, -1, "x"]}}),
@@ -106,9 +106,9 @@
         (decoding.parse_relay_summary, {"relay": "r", "zones": {"a": {"lowest": [EPOCH, 2**53]}}}),
     ):
         with pytest.raises(InvalidMessageError):
-            call(json.dumps({"v": 1, **body}).encode(), WALL)
+            parse(json.dumps({"v": 1, **body}).encode(), WALL)
         with pytest.raises(InvalidMessageError, match="version: 2"):
-            call(json.dumps({"v": 2, **body}).encode(), WALL)
+            parse(json.dumps({"v": 2, **body}).encode(), WALL)
     with pytest.raises(InvalidMessageError):
         decoding.parse_changes(
             json.dumps({"v": 1, "changes": [{"topic": PAY, "key": "", "value": 1}]}).encode()
--- a/tests/distribution/test_in_force_summary.py
+++ b/tests/distribution/test_in_force_summary.py
@@ -24,14 +24,14 @@
         max_size=6,
     )
 )
-def test_summaries_merge_in_any_order(ones: list[InForceSummary]) -> None:
-    whole = merge_summaries(ones)
-    half = len(ones) // 2
-    assert whole == merge_summaries(reversed(ones))
-    assert whole == merge_summaries([merge_summaries(ones[:half]), merge_summaries(ones[half:])])
-    known = [one.lowest for one in ones if one.lowest is not None]
-    assert whole.lowest == min(known, default=None) and whole.subscribers == sum(
-        one.subscribers for one in ones
+def test_summaries_merge_in_any_order(summaries: list[InForceSummary]) -> None:
+    total = merge_summaries(summaries)
+    half = len(summaries) // 2
+    assert total == merge_summaries(reversed(summaries))
+    assert total == merge_summaries([merge_summaries(summaries[:half]), merge_summaries(summaries[half:])])
+    known = [part.lowest for part in summaries if part.lowest is not None]
+    assert total.lowest == min(known, default=None) and total.subscribers == sum(
+        part.subscribers for part in summaries
     )
 
 
--- a/tests/distribution/test_topic_store.py
+++ b/tests/distribution/test_topic_store.py
@@ -29,134 +29,134 @@
 @settings(max_examples=150, deadline=None)
 @given(
     changes=st.lists(steps, min_size=1, max_size=25),
-    hears=st.lists(st.booleans(), min_size=25, max_size=25),
+    relay_receives=st.lists(st.booleans(), min_size=25, max_size=25),
     tombstones=st.integers(0, 4),
     history=st.booleans(),
 )
-def test_holders_in_a_chain_hold_each_version_as_it_was_at_the_origin(
-    changes: list[list[tuple[str, int | None]]], hears: list[bool], tombstones: int, history: bool
+def test_relay_and_subscriber_hold_each_version_as_it_was_at_the_origin(
+    changes: list[list[tuple[str, int | None]]], relay_receives: list[bool], tombstones: int, history: bool
 ) -> None:
     """A subscriber that receives from origin or relay at random holds what the plain model held.
 
     Few tombstones are kept; it is compared at each version that it holds.
     """
-    kept, topic_log.MAX_TOMBSTONES = topic_log.MAX_TOMBSTONES, tombstones
+    original_limit, topic_log.MAX_TOMBSTONES = topic_log.MAX_TOMBSTONES, tombstones
     try:
         origin, relay, subscriber = TopicStore(epoch=EPOCH), TopicStore([PAY]), TopicStore([PAY])
         origin.open_topic(PAY)
-        plain: dict[str, int] = {}
-        then = {Version(EPOCH, 0): {}}
-        for number, (step, hear) in enumerate(zip(changes, hears, strict=False)):
+        expected: dict[str, int] = {}
+        expected_by_version = {Version(EPOCH, 0): {}}
+        for number, (step, receives) in enumerate(zip(changes, relay_receives, strict=False)):
             version, _ = origin.commit((PAY, key, value) for key, value in step)
             for key, value in step:
-                plain.pop(key, None)
+                expected.pop(key, None)
                 if value is not None:
-                    plain[key] = value
-            then[version] = dict(plain)
-            assert entries_of(origin, PAY) == plain
-            if hear:
+                    expected[key] = value
+            expected_by_version[version] = dict(expected)
+            assert entries_of(origin, PAY) == expected
+            if receives:
                 assert relay.apply(update_over_wire(origin, relay, history=history), origin.as_of) in (
                     ApplyResult.APPLIED,
                     ApplyResult.STALE,
                 )
                 relay.note_progress(origin.as_of, origin.as_of)
-            other = origin if number % 3 else relay
-            if subscriber.version(PAY) < other.version(PAY):
-                became = subscriber.apply(update_over_wire(other, subscriber), other.as_of)
-                assert became in (ApplyResult.APPLIED, ApplyResult.STALE)
-            for holder in (relay, subscriber):
-                if PAY in holder.logs:
-                    assert entries_of(holder, PAY) == then[holder.version(PAY)]
+            sender = origin if number % 3 else relay
+            if subscriber.version(PAY) < sender.version(PAY):
+                applied = subscriber.apply(update_over_wire(sender, subscriber), sender.as_of)
+                assert applied in (ApplyResult.APPLIED, ApplyResult.STALE)
+            for checked_store in (relay, subscriber):
+                if PAY in checked_store.logs:
+                    assert entries_of(checked_store, PAY) == expected_by_version[checked_store.version(PAY)]
         subscriber.apply(update_over_wire(origin, subscriber), origin.as_of)
-        assert entries_of(subscriber, PAY) == plain
+        assert entries_of(subscriber, PAY) == expected
     finally:
-        topic_log.MAX_TOMBSTONES = kept
+        topic_log.MAX_TOMBSTONES = original_limit
 
 
 def test_older_version_never_replaces_a_newer_one() -> None:
-    held = TopicStore([PAY])
+    store = TopicStore([PAY])
     assert (
-        held.apply(topic_update(PAY, Version(EPOCH, 9), {"a": 9}, is_snapshot=True), Version(EPOCH, 9))
+        store.apply(topic_update(PAY, Version(EPOCH, 9), {"a": 9}, is_snapshot=True), Version(EPOCH, 9))
         is ApplyResult.APPLIED
     )
     for older in (Version(EPOCH, 9), Version(EPOCH, 8)):
-        for whole in (True, False):
+        for as_snapshot in (True, False):
             assert (
-                held.apply(topic_update(PAY, older, {"a": 1}, is_snapshot=whole), Version(EPOCH, 9))
+                store.apply(topic_update(PAY, older, {"a": 1}, is_snapshot=as_snapshot), Version(EPOCH, 9))
                 is ApplyResult.STALE
             )
-    assert entries_of(held, PAY) == {"a": 9}
+    assert entries_of(store, PAY) == {"a": 9}
 
 
 def test_higher_epoch_is_applied_and_lower_epoch_is_refused() -> None:
-    held = TopicStore([PAY, CONFIG])
+    store = TopicStore([PAY, CONFIG])
     first = Version(EPOCH, 500)
-    assert held.apply(topic_update(PAY, first, {"a": 1}, is_snapshot=True), first) is ApplyResult.APPLIED
-    held.note_progress(first, first)
-    anew = Version(EPOCH + 1, 2)
-    assert held.apply(topic_update(PAY, anew, {"a": 2}, is_snapshot=True), anew) is ApplyResult.APPLIED
-    assert held.note_progress(anew, anew)
+    assert store.apply(topic_update(PAY, first, {"a": 1}, is_snapshot=True), first) is ApplyResult.APPLIED
+    store.note_progress(first, first)
+    newer = Version(EPOCH + 1, 2)
+    assert store.apply(topic_update(PAY, newer, {"a": 2}, is_snapshot=True), newer) is ApplyResult.APPLIED
+    assert store.note_progress(newer, newer)
     lower = Version(EPOCH, 9_000)
-    assert held.apply(topic_update(PAY, lower, {"a": 3}, is_snapshot=True), lower) is ApplyResult.LOWER_EPOCH
+    assert store.apply(topic_update(PAY, lower, {"a": 3}, is_snapshot=True), lower) is ApplyResult.LOWER_EPOCH
     assert (
-        held.apply(topic_update(CONFIG, lower, {"a": 3}, is_snapshot=True), lower) is ApplyResult.LOWER_EPOCH
+        store.apply(topic_update(CONFIG, lower, {"a": 3}, is_snapshot=True), lower) is ApplyResult.LOWER_EPOCH
     )
-    assert not held.note_progress(lower, lower)
-    assert entries_of(held, PAY) == {"a": 2} and CONFIG not in held.logs and held.as_of == anew
+    assert not store.note_progress(lower, lower)
+    assert entries_of(store, PAY) == {"a": 2} and CONFIG not in store.logs and store.as_of == newer
 
 
 def test_changes_of_another_epoch_are_a_gap_though_their_revisions_fit() -> None:
-    held = TopicStore([PAY])
-    held.apply(topic_update(PAY, Version(EPOCH, 5), {"a": 1}, is_snapshot=True), Version(EPOCH, 5))
-    anew = Version(EPOCH + 1, 8)
-    assert held.apply(topic_update(PAY, anew, {"b": 1}, base_revision=3), anew) is ApplyResult.GAP
-    assert entries_of(held, PAY) == {"a": 1} and held.held_versions() == {PAY: NO_VERSION}
+    store = TopicStore([PAY])
+    store.apply(topic_update(PAY, Version(EPOCH, 5), {"a": 1}, is_snapshot=True), Version(EPOCH, 5))
+    newer = Version(EPOCH + 1, 8)
+    assert store.apply(topic_update(PAY, newer, {"b": 1}, base_revision=3), newer) is ApplyResult.GAP
+    assert entries_of(store, PAY) == {"a": 1} and store.held_versions() == {PAY: NO_VERSION}
 
 
 def test_changes_on_a_missing_base_are_a_gap_until_the_base_or_a_snapshot_comes() -> None:
-    origin, held = TopicStore(epoch=EPOCH), TopicStore([PAY])
+    origin, store = TopicStore(epoch=EPOCH), TopicStore([PAY])
     for revision in range(1, 4):
         origin.commit([(PAY, "ab"[revision % 2], revision)])
         if revision == 1:
-            held.apply(update_over_wire(origin, held), origin.as_of)
+            store.apply(update_over_wire(origin, store), origin.as_of)
             base = origin.as_of
-    late = decoding.parse_topic_update(
+    late_changes = decoding.parse_topic_update(
         msgspec.Raw(origin.encoded_update(PAY, Version(EPOCH, 2), False)), origin.as_of, WALL
     )
-    assert late.base_revision == 2 and held.apply(late, origin.as_of) is ApplyResult.GAP
-    assert held.version(PAY) == base and held.held_versions() == {PAY: NO_VERSION}
-    # the lost changes come late, on top of what is held
-    missed = topic_update(PAY, Version(EPOCH, 2), {"a": 2}, base_revision=1)
-    assert held.apply(missed, origin.as_of) is ApplyResult.APPLIED and not held.gaps
-    assert held.apply(late, origin.as_of) is ApplyResult.APPLIED
-    assert entries_of(held, PAY) == entries_of(origin, PAY) == {"a": 2, "b": 3}
+    assert late_changes.base_revision == 2 and store.apply(late_changes, origin.as_of) is ApplyResult.GAP
+    assert store.version(PAY) == base and store.held_versions() == {PAY: NO_VERSION}
+    # The missing changes arrive late and apply to the held version, which closes the gap.
+    missing_changes = topic_update(PAY, Version(EPOCH, 2), {"a": 2}, base_revision=1)
+    assert store.apply(missing_changes, origin.as_of) is ApplyResult.APPLIED and not store.gaps
+    assert store.apply(late_changes, origin.as_of) is ApplyResult.APPLIED
+    assert entries_of(store, PAY) == entries_of(origin, PAY) == {"a": 2, "b": 3}
 
 
 def test_gap_is_closed_by_a_snapshot_of_the_same_version() -> None:
-    held = TopicStore([PAY])
+    store = TopicStore([PAY])
     version = Version(EPOCH, 5)
-    held.apply(topic_update(PAY, version, {"a": 1}, is_snapshot=True), version)
-    assert held.mark_gap(PAY) and not held.mark_gap(CONFIG)
+    store.apply(topic_update(PAY, version, {"a": 1}, is_snapshot=True), version)
+    assert store.mark_gap(PAY) and not store.mark_gap(CONFIG)
     assert (
-        held.apply(topic_update(PAY, version, {"a": 1}, base_revision=5), version) is ApplyResult.STALE
-        and held.gaps
+        store.apply(topic_update(PAY, version, {"a": 1}, base_revision=5), version) is ApplyResult.STALE
+        and store.gaps
     )
     assert (
-        held.apply(topic_update(PAY, version, {"a": 1}, is_snapshot=True), version) is ApplyResult.APPLIED
-        and not held.gaps
+        store.apply(topic_update(PAY, version, {"a": 1}, is_snapshot=True), version) is ApplyResult.APPLIED
+        and not store.gaps
     )
 
 
-def test_change_reverted_and_made_again_while_away_arrives_as_one_change() -> None:
-    origin, away = TopicStore(epoch=EPOCH), TopicStore([PAY])
+def test_change_reverted_and_repeated_while_disconnected_arrives_as_one_change() -> None:
+    origin, disconnected = TopicStore(epoch=EPOCH), TopicStore([PAY])
     origin.commit([(PAY, "a", "old"), (PAY, "b", 1)])
-    away.apply(update_over_wire(origin, away), origin.as_of)
+    disconnected.apply(update_over_wire(origin, disconnected), origin.as_of)
     for value in ("new", "old", "new"):
         origin.commit([(PAY, "a", value)])
-    news = update_over_wire(origin, away)
-    assert not news.is_snapshot and set(news.entries) == {"a"}
-    assert away.apply(news, origin.as_of) is ApplyResult.APPLIED
-    assert entries_of(away, PAY) == {"a": "new", "b": 1}
+    update = update_over_wire(origin, disconnected)
+    assert not update.is_snapshot and set(update.entries) == {"a"}
+    assert disconnected.apply(update, origin.as_of) is ApplyResult.APPLIED
+    assert entries_of(disconnected, PAY) == {"a": "new", "b": 1}
 
 
 def test_commit_without_a_difference_makes_no_revision() -> None:
--- a/tests/distribution/test_update_receiver.py
+++ b/tests/distribution/test_update_receiver.py
@@ -9,12 +9,20 @@
 from gullmount.distribution.topic_store import TopicStore
 from gullmount.distribution.update_receiver import UpdateReceiver
 from gullmount.distribution.versions import NO_VERSION, Version
-from tests.support.subscription_scene import CONFIG, EPOCH, FAULTY, PAY, WALL, entries_of, update_line
+from tests.support.subscription_scene import (
+    CONFIG,
+    EPOCH,
+    MALFORMED_TOPICS,
+    PAY,
+    WALL,
+    entries_of,
+    update_line,
+)
 
 
-@pytest.mark.parametrize("faulty", FAULTY)
+@pytest.mark.parametrize("malformed", MALFORMED_TOPICS)
 def test_malformed_topic_is_dropped_counted_and_requested_without_effect_on_others(
-    faulty: dict[str, Any],
+    malformed: dict[str, Any],
 ) -> None:
     receiver = UpdateReceiver(TopicStore([PAY, CONFIG]))
     receiver.receive(
@@ -23,9 +31,9 @@
         ),
         WALL,
     )
-    other = {"topic": CONFIG, "version": [EPOCH, 2], "whole": True, "entries": {"routes": [1]}}
+    valid = {"topic": CONFIG, "version": [EPOCH, 2], "whole": True, "entries": {"routes": [1]}}
     for _ in range(3):
-        result = receiver.receive(update_line([faulty, other], Version(EPOCH, 3)), WALL)
+        result = receiver.receive(update_line([malformed, valid], Version(EPOCH, 3)), WALL)
     assert receiver.counters.not_understood == 3 and not result.errors, "one line of the log for a stream"
     assert entries_of(receiver.store, PAY) == {"a": 1} and entries_of(receiver.store, CONFIG) == {
         "routes": [1]
@@ -41,12 +49,14 @@
     assert entries_of(receiver.store, PAY) == {"b": 2} and receiver.due_requests(500.0) == {}
 
 
-def test_topic_without_a_name_spoils_only_itself() -> None:
+def test_topic_without_a_valid_name_is_dropped_without_effect_on_others() -> None:
     receiver = UpdateReceiver(TopicStore([CONFIG]))
-    other = {"topic": CONFIG, "version": [EPOCH, 2], "whole": True, "entries": {"routes": [1]}}
-    for number, faulty in enumerate([7, None, {}, {"topic": 3}, {"topic": "other/x"}, {"topic": "boxes/"}]):
-        other["version"] = [EPOCH, number + 1]
-        result = receiver.receive(update_line([faulty, other], Version(EPOCH, 9)), WALL)  # type: ignore[list-item]
+    valid = {"topic": CONFIG, "version": [EPOCH, 2], "whole": True, "entries": {"routes": [1]}}
+    for number, malformed in enumerate(
+        [7, None, {}, {"topic": 3}, {"topic": "other/x"}, {"topic": "boxes/"}]
+    ):
+        valid["version"] = [EPOCH, number + 1]
+        result = receiver.receive(update_line([malformed, valid], Version(EPOCH, 9)), WALL)  # type: ignore[list-item]
         assert len(result.updates) == 1 and receiver.counters.not_understood == number + 1
 
 
@@ -59,9 +69,13 @@
 
 def test_line_of_a_lower_epoch_is_refused_logged_once_and_counted() -> None:
     receiver = UpdateReceiver(TopicStore([PAY]))
-    newer = {"topic": PAY, "version": [EPOCH + 5, 1], "whole": True, "entries": {"a": 1}}
-    receiver.receive(update_line([newer], Version(EPOCH + 5, 1)), WALL)
-    lower = {"topic": PAY, "version": [EPOCH, 900], "whole": True, "entries": {"a": 0}}
-    result = [receiver.receive(update_line([lower], Version(EPOCH, 900)), WALL) for _ in range(3)]
-    assert [len(one.errors) for one in result] == [1, 0, 0] and all(one.sender_is_behind for one in result)
+    higher_epoch_topic = {"topic": PAY, "version": [EPOCH + 5, 1], "whole": True, "entries": {"a": 1}}
+    receiver.receive(update_line([higher_epoch_topic], Version(EPOCH + 5, 1)), WALL)
+    lower_epoch_topic = {"topic": PAY, "version": [EPOCH, 900], "whole": True, "entries": {"a": 0}}
+    results = [
+        receiver.receive(update_line([lower_epoch_topic], Version(EPOCH, 900)), WALL) for _ in range(3)
+    ]
+    assert [len(line_result.errors) for line_result in results] == [1, 0, 0] and all(
+        line_result.sender_is_behind for line_result in results
+    )
     assert receiver.counters.lower_epoch == 3 and entries_of(receiver.store, PAY) == {"a": 1}
--- a/tests/support/subscription_scene.py
+++ b/tests/support/subscription_scene.py
@@ -25,17 +25,17 @@
 CONFIG = "config/pay"
 
 
-def topic_update(topic: str, version: Version, entries: dict[str, Any], **more: Any) -> TopicUpdate:
-    raws = {key: msgspec.Raw(msgspec.json.encode(value)) for key, value in entries.items()}
-    return TopicUpdate(topic, version, raws, **more)
+def topic_update(topic: str, version: Version, entries: dict[str, Any], **fields: Any) -> TopicUpdate:
+    raw_entries = {key: msgspec.Raw(msgspec.json.encode(value)) for key, value in entries.items()}
+    return TopicUpdate(topic, version, raw_entries, **fields)
 
 
 def entries_of(topics: TopicStore, name: str) -> dict[str, Any]:
     return {key: msgspec.json.decode(value) for key, value in topics.logs[name].snapshot().items()}
 
 
-def update_line(topics: list[dict[str, Any]], as_of: Version, **more: Any) -> bytes:
-    return json.dumps({"v": 1, "kind": "told", "as_of": as_of, "topics": topics, **more}).encode()
+def update_line(topics: list[dict[str, Any]], as_of: Version, **fields: Any) -> bytes:
+    return json.dumps({"v": 1, "kind": "told", "as_of": as_of, "topics": topics, **fields}).encode()
 
 
 def update_over_wire(
@@ -51,7 +51,7 @@
 )
 
 
-FAULTY: list[dict[str, Any]] = [
+MALFORMED_TOPICS: list[dict[str, Any]] = [
     {"topic": PAY, "version": [EPOCH, 4], "whole": True, "entries": {"b": 1}},  # beyond the sender's own
     {"topic": PAY, "version": [EPOCH, 2**60], "whole": True, "entries": {"b": 1}},
     {"topic": PAY, "version": [EPOCH + 1, 1], "whole": True, "entries": {"b": 1}},
@@ -96,28 +96,28 @@
         if name not in self.receivers:
             self.receivers[name] = UpdateReceiver(TopicStore(self.names if topics is None else topics))
             self.acknowledgements[name] = Acknowledgements(name, zone)
-        asked = self.acknowledgements[name].subscribe_request(self.receivers[name].store)
-        asked = decoding.parse_subscribe_request(encoding.encode(asked), WALL)
+        request = self.acknowledgements[name].subscribe_request(self.receivers[name].store)
+        request = decoding.parse_subscribe_request(encoding.encode(request), WALL)
         self.sessions[name] = self.subscriptions.subscribe(
-            name, asked.zone, asked.held, now,
-            in_force=asked.in_force, rejections=asked.rejections, as_of=asked.as_of,
+            name, request.zone, request.held, now,
+            in_force=request.in_force, rejections=request.rejections, as_of=request.as_of,
         )  # fmt: skip
 
-    def batch(self, name: str, most: int = 10**6) -> list[str]:
+    def batch(self, name: str, max_bytes: int = 10**6) -> list[str]:
         """The topics of the subscriber's next batch, in their order."""
-        batch = self.subscriptions.next_batch(name, self.sessions[name], most)
+        batch = self.subscriptions.next_batch(name, self.sessions[name], max_bytes)
         if batch is None:
             return []
         result = self.receivers[name].receive(batch.line, WALL)
-        for one in result.updates:
-            self.acknowledgements[name].record_applied(one.topic, one.version)
-        return [one["topic"] for one in json.loads(batch.line)["topics"]]
+        for update in result.updates:
+            self.acknowledgements[name].record_applied(update.topic, update.version)
+        return [sent_topic["topic"] for sent_topic in json.loads(batch.line)["topics"]]
 
     def report(self, name: str) -> None:
-        while (one := self.acknowledgements[name].next_report()) is not None:
-            one = decoding.parse_acknowledgement(encoding.encode(one), WALL)
-            assert self.subscriptions.acknowledge(name, one.in_force, one.rejections)
-            self.acknowledgements[name].confirm(one)
+        while (pending_report := self.acknowledgements[name].next_report()) is not None:
+            pending_report = decoding.parse_acknowledgement(encoding.encode(pending_report), WALL)
+            assert self.subscriptions.acknowledge(name, pending_report.in_force, pending_report.rejections)
+            self.acknowledgements[name].confirm(pending_report)
 
     def settle(self, *names: str) -> None:
         for name in names:
