--- a/gullmount/distribution/acknowledgements.py
+++ b/gullmount/distribution/acknowledgements.py
@@ -1,4 +1,4 @@
-"""What a subscriber reports: which versions are in force, and which it can't use.
+"""Tracks what a subscriber reports: the versions in force and the versions that it can't use.
 
 No I/O, clock or randomness.
 """
@@ -17,10 +17,18 @@
 
 
 class Acknowledgements:
-    """What is in force or rejected by topic, and what of that the relay has not confirmed yet."""
+    """The versions in force and the rejected versions, by topic.
+
+    Attributes:
+        subscriber: The name of the subscriber.
+        zone: The zone of the subscriber.
+        in_force: The version in force of each topic.
+        rejections: The rejected version of each topic that has one.
+        unconfirmed: The topics whose state the relay has not confirmed yet, oldest first.
+    """
 
     def __init__(self, subscriber: str, zone: str) -> None:
-        """Start with nothing in force."""
+        """Starts with nothing in force."""
         self.subscriber = subscriber
         self.zone = zone
         self.in_force: dict[str, Version] = {}
@@ -28,18 +36,18 @@
         self.unconfirmed: dict[str, None] = {}
 
     def record_applied(self, topic: str, version: Version) -> None:
-        """Note that a version is in force."""
+        """Records that a version is in force."""
         self.in_force[topic] = version
         self.rejections.pop(topic, None)
         self.unconfirmed[topic] = None
 
     def record_rejected(self, topic: str, version: Version, reason: str) -> None:
-        """Note that a version can't be used; what was in force before stays so."""
+        """Records that a version can't be used; the version in force stays as it is."""
         self.rejections[topic] = Rejection(*version, reason[:MAX_REASON_CHARACTERS])
         self.unconfirmed[topic] = None
 
     def next_report(self) -> AcknowledgementReport | None:
-        """What the relay has not confirmed; None if there is nothing."""
+        """Returns a report of unconfirmed topics, or None if there are none."""
         topics = list(self.unconfirmed)[:MAX_REPORT_TOPICS]
         if not topics:
             return None
@@ -47,14 +55,17 @@
         return AcknowledgementReport(self.subscriber, in_force, self.rejections_of(topics))
 
     def confirm(self, report: AcknowledgementReport) -> None:
-        """Note that a report was accepted: what has changed since then is still to be reported."""
+        """Records that the relay accepted a report.
+
+        Topics that have changed since the report was made stay unconfirmed.
+        """
         for topic in {**report.in_force, **report.rejections}:
             current = self.in_force.get(topic), self.rejections.get(topic)
             if current == (report.in_force.get(topic), report.rejections.get(topic)):
                 self.unconfirmed.pop(topic, None)
 
     def subscribe_request(self, store: TopicStore, with_history: bool = False) -> SubscribeRequest:
-        """The request that begins a stream, with all that is held and in force."""
+        """Returns the request that begins a stream, with all versions held and in force."""
         held = store.held_versions()
         in_force = {topic: self.in_force.get(topic, NO_VERSION) for topic in held}
         return SubscribeRequest(
@@ -68,5 +79,5 @@
         )
 
     def rejections_of(self, topics: Iterable[str]) -> dict[str, Rejection]:
-        """The rejections among these topics."""
+        """Returns the rejections of these topics."""
         return {topic: self.rejections[topic] for topic in topics if topic in self.rejections}
--- a/gullmount/distribution/messages.py
+++ b/gullmount/distribution/messages.py
@@ -1,6 +1,7 @@
-"""The messages of distribution, as docs/protocols.md has them; themed wire words are mapped here.
+"""Defines the messages of distribution as plain data; docs/protocols.md specifies them.
 
-Plain data: `encoding` writes them, `decoding` reads them with limits. No I/O, clock or randomness.
+Where a field has another name on the wire, it is mapped here. `encoding` writes the messages, `decoding`
+reads them and checks their limits. No I/O, clock or randomness.
 """
 
 from __future__ import annotations
@@ -23,7 +24,12 @@
 
 @dataclass(frozen=True)
 class MalformedTopic:
-    """A topic of a line that was left out; its name as far as that can be read."""
+    """A topic of a line that was left out because it could not be decoded or is invalid.
+
+    Attributes:
+        topic: The name of the topic; empty if it could not be read.
+        problem: What is wrong with the topic.
+    """
 
     topic: str
     problem: str
@@ -31,10 +37,14 @@
 
 @dataclass(frozen=True)
 class UpdateLine:
-    """A stream's line with updates.
-
-    `as_of`: the newest version that the sender knows of; `complete`: up to where its own state is complete;
-    `more`: not all that it has was sent yet.
+    """A line of a stream that carries updates.
+
+    Attributes:
+        as_of: The newest version that the sender knows of.
+        complete: The version up to which the sender's own state is complete.
+        more: Whether the sender holds updates that it has not sent yet.
+        updates: The valid updates of the line.
+        malformed: The topics of the line that were left out.
     """
 
     as_of: Version
@@ -46,7 +56,13 @@
 
 @dataclass(frozen=True)
 class HeartbeatLine:
-    """A stream's line without updates; `origin_silent_seconds`: since a relay heard the origin."""
+    """A line of a stream that carries no updates.
+
+    `as_of`, `complete` and `more` have the meaning that they have in `UpdateLine`.
+
+    Attributes:
+        origin_silent_seconds: The time since a relay last heard from the origin.
+    """
 
     as_of: Version
     complete: Version
@@ -55,11 +71,19 @@
 
 
 class SubscribeRequest(msgspec.Struct, omit_defaults=True, tag_field="v", tag=MESSAGE_VERSION):
-    """Begins a stream or, with `extends`, changes the topics of the current one.
-
-    `held`: versions by topic, NO_VERSION to request a snapshot; `in_force`: where that differs from what is
-    held; `as_of`: the version up to which what is held was everything; `with_history`: by a relay, which
-    needs history to make changes in its turn; `unsubscribe`: topics to be sent no more.
+    """A request that begins a stream or, with `extends`, changes the topics of the current one.
+
+    Attributes:
+        subscriber: The name of the subscriber.
+        held: The held version of each topic; NO_VERSION requests a snapshot.
+        zone: The zone of the subscriber.
+        in_force: The version in force of each topic where it differs from the held one.
+        rejections: The versions that the subscriber can't use, by topic.
+        as_of: The version up to which the held topics were complete.
+        with_history: Whether snapshots are to include the history. A relay requests it to derive changes for
+            its own subscribers.
+        extends: Whether the request changes the current stream.
+        unsubscribe: The topics that are not to be sent any more.
     """
 
     subscriber: str = msgspec.field(name="follower")
@@ -74,7 +98,7 @@
 
 
 class AcknowledgementReport(msgspec.Struct, omit_defaults=True, tag_field="v", tag=MESSAGE_VERSION):
-    """A subscriber's report of what it applied and what it can't use."""
+    """A subscriber's report of the versions that it applied and of those that it can't use."""
 
     subscriber: str = msgspec.field(name="follower")
     in_force: dict[str, Version] = {}
@@ -82,14 +106,14 @@
 
 
 class RelaySummaryReport(msgspec.Struct, omit_defaults=True, tag_field="v", tag=MESSAGE_VERSION):
-    """A relay's report of its subscribers, by zone."""
+    """A relay's report of what is in force at its subscribers, by zone."""
 
     relay: str
     zones: dict[str, InForceSummary]
 
 
 class ChangeItem(msgspec.Struct):
-    """One change of a request; `value` None removes the key."""
+    """One change of a `ChangesRequest`. A `value` of None removes the key."""
 
     topic: str
     key: str
@@ -97,7 +121,12 @@
 
 
 class ChangesRequest(msgspec.Struct, tag_field="v", tag=MESSAGE_VERSION):
-    """Changes for the origin; of `complete_topics` these are all the entries there are."""
+    """A request to the origin to make changes.
+
+    Attributes:
+        changes: The changes to make.
+        complete_topics: The topics of which `changes` holds all entries.
+    """
 
     changes: list[ChangeItem]
     complete_topics: list[str] = msgspec.field(name="whole", default_factory=list)
--- a/gullmount/distribution/topic_log.py
+++ b/gullmount/distribution/topic_log.py
@@ -1,7 +1,7 @@
-"""One topic's newest state with its recent history, and the updates made from it.
+"""Holds one topic's newest state with its recent history, and makes updates from it.
 
-No I/O, clock or randomness. A value is held as the JSON that it came as, so that a relay neither parses nor
-builds what it only forwards.
+A value is held as the JSON text in which it was received, so that a relay neither parses nor encodes the
+values that it only forwards. No I/O, clock or randomness.
 """
 
 from __future__ import annotations
@@ -13,8 +13,11 @@
 from gullmount.distribution.topic_update import TopicUpdate, raw_entries
 from gullmount.distribution.versions import NO_VERSION, Version
 
-MAX_TOMBSTONES = 128  # removed keys of a topic that are remembered
-MAX_RECENT_CHANGES = 8  # changes of a topic for which is known what was complete before them
+# The number of removed keys that a topic remembers.
+MAX_TOMBSTONES = 128
+
+# The number of changes of a topic for which the version that was complete before them is remembered.
+MAX_RECENT_CHANGES = 8
 
 
 class LogEntry(NamedTuple):
@@ -25,17 +28,31 @@
 
 
 class RecentChange(NamedTuple):
-    """A topic's version before a change, and up to which version everything was complete then."""
+    """The state before a change of a topic.
+
+    Attributes:
+        before: The version of the topic before the change.
+        complete: The version up to which the topic was complete before the change.
+    """
 
     before: Version
     complete: Version
 
 
 class TopicLog:
-    """One topic's newest state: entries, tombstones of removed keys, and what led to its version.
-
-    Since a revision earlier than `history_floor`, tombstones may be missing. `rebase_from` is the version
-    that was held before a snapshot replaced it, `rebase_keys` what differed then, at `rebase_revision`.
+    """One topic's newest state: its entries, the tombstones of removed keys and its recent changes.
+
+    Attributes:
+        version: The version of the topic.
+        history_floor: The earliest revision since which all changes are known. Tombstones of earlier removals
+            may be missing.
+        entries: The entries by key, in the order of their revisions.
+        tombstones: The revision of each removal by key, in the order of revisions.
+        size_bytes: The size of all keys and values.
+        recent_changes: The state before each of the last changes, the oldest first.
+        rebase_from: The version that a snapshot replaced, if the difference is known; else NO_VERSION.
+        rebase_revision: The revision of that snapshot.
+        rebase_keys: The keys that differed between the replaced version and that snapshot.
     """
 
     __slots__ = (
@@ -51,19 +68,22 @@
     )
 
     def __init__(self, version: Version) -> None:
-        """An empty topic at `version`."""
+        """Starts an empty topic at `version`."""
         self.version = version
         self.history_floor = version.revision
-        self.entries: dict[str, LogEntry] = {}  # in the order of revisions
-        self.tombstones: dict[str, int] = {}  # revision of the removal, likewise
-        self.size_bytes = 0  # of keys and values
+        self.entries: dict[str, LogEntry] = {}
+        self.tombstones: dict[str, int] = {}
+        self.size_bytes = 0
         self.recent_changes: deque[RecentChange] = deque(maxlen=MAX_RECENT_CHANGES)
         self.rebase_from = NO_VERSION
         self.rebase_revision = 0
         self.rebase_keys: tuple[str, ...] = ()
 
     def put(self, key: str, value: bytes | None, revision: int) -> None:
-        """Set or (None) remove a key, at a revision that none of the topic is newer than."""
+        """Sets a key to a value, or removes it if `value` is None.
+
+        `revision` must not be lower than any revision in the log.
+        """
         old = self.entries.pop(key, None)
         if old is not None:
             self.size_bytes -= len(key) + len(old[1])
@@ -78,7 +98,10 @@
             self.history_floor = max(self.history_floor, self.tombstones.pop(oldest))
 
     def changes_since(self, revision: int) -> dict[str, bytes | None] | None:
-        """What changed after a revision of this epoch, newest state by key; None if no longer known."""
+        """Returns the newest value of each key that changed after a revision of this epoch.
+
+        The value of a removed key is None. Returns None if the changes are no longer known.
+        """
         if revision < self.history_floor:
             return None
         changes: dict[str, bytes | None] = {}
@@ -89,10 +112,10 @@
         return changes
 
     def rebase_changes(self) -> dict[str, bytes | None] | None:
-        """What differs from the version that a snapshot replaced; None if no longer known.
+        """Returns the changes since the version that a snapshot replaced, or None if no longer known.
 
-        An origin with a new epoch sends relays snapshots only; their subscribers, who mostly hold the
-        replaced version, need no more than this.
+        An origin with a new epoch sends only snapshots to relays. Most subscribers of a relay hold the
+        replaced version, so these changes are all that they need.
         """
         changes = self.changes_since(self.rebase_revision)
         if changes is not None:
@@ -102,7 +125,10 @@
         return changes
 
     def record_rebase(self, before: TopicLog) -> None:
-        """Remember what differs from the log that this one replaces, where that is less than half."""
+        """Records which keys differ from the log that this one replaces.
+
+        Nothing is recorded if there are more of them than half the number of entries.
+        """
         old_entries, new_entries = before.snapshot(), self.snapshot()
         keys = [key for key, value in new_entries.items() if old_entries.get(key) != value]
         keys += [key for key in old_entries if key not in new_entries]
@@ -112,13 +138,14 @@
             self.rebase_keys = tuple(keys)
 
     def snapshot(self) -> dict[str, bytes]:
-        """All entries as JSON by key."""
+        """Returns all entries as JSON by key."""
         return {key: value for key, (_, value) in self.entries.items()}
 
     def in_force_up_to(self, version: Version) -> Version:
-        """Up to which version all of the topic is in force where this older version of it is.
+        """Returns the version up to which the topic is in force at a holder of an older version.
 
-        That is what was complete before the first change after it, as far as that is known; else `version`.
+        This is the version up to which the topic was complete just before its first change after `version`,
+        or `version` itself if that is not known.
         """
         if not self.recent_changes or self.recent_changes[0][0] > version:
             return version
@@ -130,9 +157,15 @@
         return max(version, in_force)
 
     def update_since(self, topic: str, held: Version, with_history: bool) -> TopicUpdate:
-        """The update for one who holds version `held`: changes, or a snapshot where these are not known.
+        """Returns the update for a receiver that holds version `held`.
+
+        The update holds changes, or a snapshot if the changes since `held` are not known.
 
-        `with_history`: a snapshot for a relay, with what it needs to make changes from it in its turn.
+        Args:
+            topic: The name of the topic.
+            held: The version that the receiver holds.
+            with_history: Whether a snapshot includes the history, from which a relay derives changes for its
+                own subscribers.
         """
         if held.epoch == self.version.epoch:
             changes = self.changes_since(held.revision)
@@ -148,11 +181,11 @@
         return self.history_update(topic) if with_history else self.snapshot_update(topic)
 
     def snapshot_update(self, topic: str) -> TopicUpdate:
-        """All entries, for a subscriber."""
+        """Returns a snapshot of all entries, for a subscriber."""
         return TopicUpdate(topic, self.version, raw_entries(self.snapshot()), is_snapshot=True)
 
     def history_update(self, topic: str) -> TopicUpdate:
-        """All entries and tombstones with their revisions, for a relay."""
+        """Returns a snapshot of all entries and tombstones with their revisions, for a relay."""
         entries: dict[str, bytes | None] = {**self.snapshot(), **dict.fromkeys(self.tombstones)}
         revisions = {key: revision for key, (revision, _) in self.entries.items()} | self.tombstones
         return TopicUpdate(
--- a/gullmount/distribution/topic_update.py
+++ b/gullmount/distribution/topic_update.py
@@ -1,4 +1,7 @@
-"""A topic's update as it crosses the wire, and a change of one entry. No I/O, clock or randomness."""
+"""A topic's update as it is encoded on the wire, and a change of one entry.
+
+No I/O, clock or randomness.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class EntryChange(NamedTuple):
-    """A new value for one key of a topic; `value` None removes the key."""
+    """A new value for one key of a topic. A `value` of None removes the key."""
 
     topic: str
     key: str
@@ -23,10 +26,20 @@
 class TopicUpdate(msgspec.Struct, omit_defaults=True):
     """A topic's update on the wire: a snapshot, or changes on top of a base.
 
-    `entries` holds JSON by key, `null` for a key that was removed. A snapshot replaces what is held; changes
-    go on top of `base_revision` of the same epoch or, with `base_epoch`, on top of just that version. A
-    snapshot with history, for a relay, has the revision of each key's last change in `revisions_by_key`, and
-    in `history_floor` the revision since which all removed keys are among them.
+    A snapshot replaces the held topic. Changes apply to a held version of the same epoch whose revision is at
+    least `base_revision`. With `base_epoch` they apply only to exactly the version
+    (`base_epoch`, `base_revision`). A snapshot for a relay also carries the topic's history.
+
+    Attributes:
+        topic: The name of the topic.
+        version: The version of the topic after the update.
+        entries: JSON values by key; `null` for a removed key.
+        is_snapshot: Whether `entries` holds all entries of the topic.
+        base_revision: The revision that the changes were made from; 0 for a snapshot.
+        base_epoch: The epoch of the base version if the changes apply to exactly that version, else 0.
+        revisions_by_key: The revision of the last change of each key, in a snapshot with history only.
+        history_floor: The revision since which every removed key is among the entries, in a snapshot with
+            history only.
     """
 
     topic: str
@@ -40,5 +53,5 @@
 
 
 def raw_entries(values: Mapping[str, bytes | None]) -> dict[str, msgspec.Raw]:
-    """Entries as an update holds them; None becomes `null`."""
+    """Wraps JSON values as the entries of an update; None becomes `null`."""
     return {key: msgspec.Raw(JSON_NULL if value is None else value) for key, value in values.items()}
--- a/gullmount/distribution/versions.py
+++ b/gullmount/distribution/versions.py
@@ -1,4 +1,7 @@
-"""Versions of topics: which epoch of the origin, and which change in it. No I/O, clock or randomness."""
+"""The version of a topic: an epoch of the origin and a revision within it.
+
+No I/O, clock or randomness.
+"""
 
 from __future__ import annotations
 
@@ -6,13 +9,16 @@
 
 
 class Version(NamedTuple):
-    """A point in the origin's history, ordered as a pair.
+    """A point in the origin's history; versions compare by epoch, then by revision.
 
-    An epoch is one run of the origin with its own count of revisions; a revision is one change in it.
+    Attributes:
+        epoch: One run of the origin, with its own count of revisions.
+        revision: The number of a change within the epoch.
     """
 
     epoch: int
     revision: int
 
 
-NO_VERSION = Version(0, 0)  # nothing was received yet
+# The version of a topic of which nothing was received yet.
+NO_VERSION = Version(0, 0)
