--- a/gullmount/distribution/in_force_summary.py
+++ b/gullmount/distribution/in_force_summary.py
@@ -1,6 +1,7 @@
-"""What is in force, summarized by zone: by a relay of its subscribers, by the origin of its relays.
+"""Summarizes by zone which versions are in force.
 
-No I/O, clock or randomness: times, in seconds of one clock, are handed in.
+A relay summarizes its subscribers, the origin its relays. No I/O, clock or randomness: the caller passes
+times, in seconds of one clock.
 """
 
 from __future__ import annotations
@@ -13,20 +14,29 @@
 
 from gullmount.distribution.versions import Version
 
-MAX_LISTED_SUBSCRIBERS = 20  # subscribers named in one list; beyond, they are counted only
+# The number of subscribers named in one list. Further ones are only counted.
+MAX_LISTED_SUBSCRIBERS = 20
+
 MAX_REASON_CHARACTERS = 100
-REPORT_GRACE_SECONDS = 5.0  # without a report, after which a relay's subscribers are taken for gone elsewhere
+
+# The time without a report after which a relay's subscribers are assumed to have moved elsewhere.
+REPORT_GRACE_SECONDS = 5.0
 
 
 class LaggingSubscriber(NamedTuple):
-    """A subscriber that is behind, and up to which version everything is in force there."""
+    """A subscriber that is behind.
+
+    Attributes:
+        name: The name of the subscriber.
+        version: The version up to which everything is in force there.
+    """
 
     name: str
     version: Version
 
 
 class UnusableVersion(msgspec.Struct, frozen=True, array_like=True):
-    """A subscriber that can't use a version of a topic, and keeps what it had."""
+    """A version of a topic that a subscriber can't use. The subscriber keeps its earlier version in force."""
 
     subscriber: str
     topic: str
@@ -35,40 +45,43 @@
 
 
 class InForceSummary(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a number of subscribers has in force.
+    """A summary of the versions that a group of subscribers has in force.
 
-    Merging loses nothing but names beyond the limit. Only reachable subscribers count; one whose stream has
-    ended counts for a grace period, and is named.
+    Merging summaries loses only the names beyond MAX_LISTED_SUBSCRIBERS. Only reachable subscribers count. A
+    subscriber whose stream has ended counts, and is named, for a grace period.
     """
 
     subscribers: int = msgspec.field(name="followers", default=0)
     starting: int = 0
-    """Of these, that have not received all their topics once: they serve nothing by them yet."""
+    """Subscribers that have not received each of their topics yet, and so do not serve by them."""
     behind: int = 0
-    """Of these, for which something that they did not reject is not in force yet."""
+    """Subscribers where a version that they did not reject is not in force yet."""
     unusable: int = msgspec.field(name="unable", default=0)
-    """Of these, that rejected the newest version of a topic."""
+    """Subscribers that rejected the newest version of a topic."""
     disconnected: int = msgspec.field(name="gone", default=0)
-    """Of these, whose stream has ended."""
+    """Subscribers whose stream has ended."""
     lowest: Version | None = None
-    """In force at all that are not starting; what was rejected counts as done."""
+    """The version up to which everything is in force at all subscribers that are not starting.
+
+    A rejected version counts as in force.
+    """
     lowest_used: Version | None = None
-    """The same, with what was rejected as not in force."""
+    """The same as `lowest`, but a rejected version counts as not in force."""
     behind_names: tuple[LaggingSubscriber, ...] = ()
-    """The lowest version first."""
+    """Subscribers that are behind, the lowest version first."""
     unusable_versions: tuple[UnusableVersion, ...] = msgspec.field(name="unable_names", default=())
     disconnected_names: tuple[str, ...] = msgspec.field(name="gone_names", default=())
 
 
 def lower_version(first: Version | None, second: Version | None) -> Version | None:
-    """The lower of two versions; None is not known and counts for nothing."""
+    """Returns the lower of two versions. None stands for an unknown version and is ignored."""
     if first is None or second is None:
         return second if first is None else first
     return min(first, second)
 
 
 def merge_summaries(summaries: Iterable[InForceSummary]) -> InForceSummary:
-    """The summary of all their subscribers; one that two of them count is counted twice."""
+    """Merges summaries into one. A subscriber that is in two of them is counted twice."""
     subscribers = starting = behind = unusable = disconnected = 0
     lowest: Version | None = None
     lowest_used: Version | None = None
@@ -110,26 +123,29 @@
 
 @dataclass(frozen=True)
 class RelayReport:
-    """A relay's newest summary by zone, and when it came."""
+    """A relay's newest summaries by zone, and the time when they were received."""
 
     received_at: float
     zones: Mapping[str, InForceSummary]
 
 
 class RelaySummaries:
-    """At the origin: the newest summary of each relay. Bounded by relays and zones."""
+    """The newest summaries of each relay, held by the origin.
+
+    Memory is bounded by the number of relays and zones.
+    """
 
     def __init__(self, grace_seconds: float = REPORT_GRACE_SECONDS) -> None:
-        """Count a relay for `grace_seconds` after its last report."""
+        """Starts without reports. A relay counts for `grace_seconds` after its last report."""
         self.grace_seconds = grace_seconds
         self.relays: dict[str, RelayReport] = {}
 
     def record(self, relay: str, zones: Mapping[str, InForceSummary], now: float) -> None:
-        """Replace the relay's summary."""
+        """Replaces the summaries of a relay."""
         self.relays[relay] = RelayReport(now, zones)
 
     def expire(self, now: float) -> list[str]:
-        """Drop relays that were silent for longer than the grace period; their names."""
+        """Drops relays without a report for longer than the grace period, and returns their names."""
         silent = [
             name for name, report in self.relays.items() if now - report.received_at > self.grace_seconds
         ]
@@ -138,7 +154,7 @@
         return silent
 
     def summary(self, now: float) -> dict[str, InForceSummary]:
-        """All relays' summaries merged by zone."""
+        """Returns the summaries of all relays, merged by zone."""
         self.expire(now)
         by_zone: dict[str, list[InForceSummary]] = {}
         for report in self.relays.values():
--- a/gullmount/distribution/topic_store.py
+++ b/gullmount/distribution/topic_store.py
@@ -1,7 +1,8 @@
-"""All topics that an origin, a relay or a subscriber holds, and how updates and changes enter them.
+"""Stores the topics that an origin, a relay or a subscriber holds, and applies updates and changes to them.
 
-No I/O, clock or randomness. An older version of a topic never replaces a newer one, and changes go only on
-top of what they were made for.
+An older version of a topic never replaces a newer one. Changes apply only to a version that they were made
+for.
+No I/O, clock or randomness.
 """
 
 from __future__ import annotations
@@ -17,25 +18,35 @@
 from gullmount.distribution.topic_update import JSON_NULL, EntryChange, TopicUpdate, raw_entries
 from gullmount.distribution.versions import NO_VERSION, Version
 
-MAX_TOPIC_BYTES = 3 << 20  # of a topic's keys and values, so that it fits a line with its frame
-MAX_ENCODED_BYTES = 4 << 20  # of encoded updates that are cached
+# The size of a topic's keys and values. It leaves room in a line for the fields around the topic.
+MAX_TOPIC_BYTES = 3 << 20
+
+# The size of all encoded updates in the cache.
+MAX_ENCODED_BYTES = 4 << 20
 
 
 class ApplyResult(Enum):
-    """What became of an update."""
+    """The result of applying an update."""
 
     APPLIED = "applied"
     STALE = "stale"
-    """The same or a newer version is held: nothing changed."""
+    """The same or a newer version is held, so nothing changed."""
     GAP = "gap"
-    """Changes on top of what is not held: a snapshot must be requested."""
+    """The base of the changes is not held, so a snapshot must be requested."""
     NOT_SUBSCRIBED = "not_subscribed"
     LOWER_EPOCH = "lower_epoch"
-    """Its sender's origin is in an earlier epoch than one known here."""
+    """The sender's origin is in an earlier epoch than the highest one known here."""
 
 
 class EncodingKey(NamedTuple):
-    """What an encoded update was made for."""
+    """The key of the cache of encoded updates.
+
+    Attributes:
+        topic: The name of the topic.
+        version: The version of the topic after the update.
+        held: The version that the receiver holds.
+        with_history: Whether a snapshot includes the history.
+    """
 
     topic: str
     version: Version
@@ -46,13 +57,19 @@
 class TopicStore:
     """All topics held here, by name.
 
-    `subscribed` holds the topics that are accepted; None at an origin, which has all and accepts no updates.
-    `as_of` is the version up to which all topics are complete, except those in `gaps`, each with the version
-    up to which it was complete; `newest_seen` is the newest version heard of.
+    Attributes:
+        subscribed: The topics whose updates are accepted. None at an origin, which has all topics and accepts
+            no updates.
+        logs: The log of each topic.
+        as_of: The version up to which all topics are complete, except those in `gaps`.
+        newest_seen: The newest version that any accepted message has named.
+        gaps: The topics that lack an update, each with the version up to which it was complete.
+        encoded_updates: The cache of encoded updates, the oldest first.
+        encoded_bytes: The size of all updates in the cache.
     """
 
     def __init__(self, subscribed: Iterable[str] | None = None, epoch: int = 0) -> None:
-        """Start without topics; an origin names its epoch."""
+        """Starts without topics. Only an origin passes its `epoch`."""
         self.subscribed: set[str] | None = None if subscribed is None else set(subscribed)
         self.logs: dict[str, TopicLog] = {}
         self.as_of = Version(epoch, 0) if epoch else NO_VERSION
@@ -63,18 +80,18 @@
 
     @property
     def epoch(self) -> int:
-        """The highest epoch known: nothing is accepted from an origin of a lower one."""
+        """The highest epoch known. Nothing is accepted from an origin of a lower epoch."""
         return self.newest_seen.epoch
 
     # Subscribed topics
 
     def subscribe(self, topics: Iterable[str]) -> None:
-        """Accept updates of these topics, too."""
+        """Accepts updates of these topics as well."""
         assert self.subscribed is not None
         self.subscribed.update(topics)
 
     def unsubscribe(self, topics: Iterable[str]) -> None:
-        """Drop these topics."""
+        """Drops these topics and accepts no more updates of them."""
         for topic in topics:
             if self.subscribed is not None:
                 self.subscribed.discard(topic)
@@ -82,17 +99,17 @@
             self.gaps.pop(topic, None)
 
     def version(self, topic: str) -> Version:
-        """The version held, or NO_VERSION."""
+        """Returns the held version of a topic, or NO_VERSION."""
         log = self.logs.get(topic)
         return log.version if log is not None else NO_VERSION
 
     def held_versions(self) -> dict[str, Version]:
-        """The version of each subscribed topic; NO_VERSION where a snapshot is needed."""
+        """Returns the held version of each subscribed topic; NO_VERSION if it needs a snapshot."""
         topics = sorted(self.subscribed or ())
         return {topic: NO_VERSION if topic in self.gaps else self.version(topic) for topic in topics}
 
     def never_received(self) -> set[str]:
-        """Subscribed topics without any update so far."""
+        """Returns the subscribed topics that have received no update yet."""
         if self.subscribed is None or len(self.subscribed) == len(self.logs):
             return set()
         return self.subscribed - self.logs.keys()
@@ -100,10 +117,14 @@
     # Updates from others
 
     def apply(self, update: TopicUpdate, as_of: Version, complete: Version | None = None) -> ApplyResult:
-        """Apply one topic's update.
+        """Applies one topic's update.
+
+        The caller calls `note_progress` once all updates of the message are applied.
 
-        `as_of` and `complete` are those of its message; `note_progress` follows once all its updates are
-        applied.
+        Args:
+            update: The update.
+            as_of: The newest version that the sender of the message knows of.
+            complete: The version up to which the sender's state is complete; None stands for `as_of`.
         """
         topic = update.topic
         if self.subscribed is None or topic not in self.subscribed:
@@ -118,7 +139,8 @@
         if not update.is_snapshot and not self.applies_on_top(update, held):
             self.mark_gap(topic)
             return ApplyResult.GAP
-        if log is None or topic in self.gaps:  # its sender may be behind those who sent the others
+        # The sender of this update may be behind the senders of the other topics.
+        if log is None or topic in self.gaps:
             self.as_of = min(self.as_of, max(update.version, as_of if complete is None else complete))
         complete_before = self.gaps.pop(topic, self.as_of)
         if log is None or update.is_snapshot:
@@ -132,7 +154,7 @@
         return ApplyResult.APPLIED
 
     def apply_changes(self, update: TopicUpdate, log: TopicLog, complete_before: Version) -> None:
-        """Put an update's changes on top of a log of the same epoch."""
+        """Applies an update's changes to a log of the same epoch."""
         log.recent_changes.append(RecentChange(log.version, complete_before))
         for key, raw in update.entries.items():
             value = bytes(raw)
@@ -140,7 +162,7 @@
         log.version = update.version
 
     def applies_on_top(self, update: TopicUpdate, held: Version) -> bool:
-        """Whether the update's changes go on top of the version held."""
+        """Returns whether the update's changes apply to the held version."""
         if held == NO_VERSION:
             return False
         if update.base_epoch:
@@ -148,14 +170,23 @@
         return held.epoch == update.version.epoch and held.revision >= update.base_revision
 
     def mark_gap(self, topic: str) -> bool:
-        """Note that an update of the topic was lost: it needs a snapshot. False if not subscribed."""
+        """Records that an update of the topic was lost, so that it needs a snapshot.
+
+        Returns False if the topic is not subscribed to.
+        """
         if self.subscribed is None or topic not in self.subscribed:
             return False
         self.gaps.setdefault(topic, self.as_of)
         return True
 
     def rebuilt_log(self, update: TopicUpdate, before: TopicLog | None, complete_before: Version) -> TopicLog:
-        """A log made from a snapshot; `complete_before`: up to when the replaced log was complete."""
+        """Returns a log made from a snapshot.
+
+        Args:
+            update: The snapshot.
+            before: The log that is replaced, if any.
+            complete_before: The version up to which the replaced log was complete.
+        """
         log = TopicLog(update.version)
         revisions = update.revisions_by_key
         if revisions is None:
@@ -175,10 +206,14 @@
         return log
 
     def note_progress(self, as_of: Version, complete: Version | None) -> bool:
-        """Note that a message was applied whose sender knows of `as_of`.
+        """Records that a message was applied.
+
+        Args:
+            as_of: The newest version that the sender of the message knows of.
+            complete: The version up to which the sender has sent everything, or None if it is not known.
 
-        `complete` is the version up to which everything was sent, if that is known. False for a sender whose
-        origin is in an earlier epoch than one known here.
+        Returns:
+            False if the sender's origin is in an earlier epoch than the highest one known here.
         """
         if as_of.epoch < self.epoch:
             return False
@@ -190,16 +225,23 @@
     # Changes, at an origin
 
     def open_topic(self, topic: str) -> TopicLog:
-        """The topic's log; an empty one if there is none: subscribers are told that it is empty."""
+        """Returns the topic's log; makes an empty one if there is none.
+
+        With an empty log, subscribers are sent the fact that the topic is empty.
+        """
         log = self.logs.get(topic)
         if log is None:
             log = self.logs[topic] = TopicLog(Version(self.as_of.epoch, 0))
         return log
 
     def commit(self, changes: Iterable[EntryChange]) -> tuple[Version, list[str]]:
-        """Make changes, all in one revision; those that change nothing are left out.
+        """Makes changes, all in one revision. Values that are held already are left out.
 
-        Returns the version as of which all of them hold, and the topics changed. Raises TopicTooLargeError.
+        Returns:
+            The version as of which all changes hold, and the topics that changed.
+
+        Raises:
+            TopicTooLargeError: A topic would exceed MAX_TOPIC_BYTES. Nothing is changed.
         """
         new_values: dict[tuple[str, str], bytes | None] = {}
         for topic, key, value in changes:
@@ -221,7 +263,7 @@
         return version, list(sizes)
 
     def drop_unchanged_values(self, new_values: dict[tuple[str, str], bytes | None]) -> dict[str, int]:
-        """Remove values that are held already; the size in bytes of each topic that changes."""
+        """Removes values that are held already, and returns the new size in bytes of each changed topic."""
         sizes: dict[str, int] = {}
         for (topic, key), raw in list(new_values.items()):
             log = self.logs.get(topic)
@@ -237,7 +279,10 @@
     # Updates to others
 
     def encoded_update(self, topic: str, held: Version, with_history: bool) -> bytes:
-        """The update as JSON for one who holds version `held`; `with_history` for a relay."""
+        """Returns the update for a receiver that holds version `held`, as JSON.
+
+        A relay requests it `with_history`.
+        """
         log = self.logs[topic]
         key = EncodingKey(topic, log.version, held, with_history)
         encoded = self.encoded_updates.get(key)
--- a/gullmount/distribution/update_receiver.py
+++ b/gullmount/distribution/update_receiver.py
@@ -1,6 +1,6 @@
-"""Takes the lines of a subscription's stream into a topic store, and says which topics to request again.
+"""Applies the lines of a subscription's stream to a topic store and finds the topics to request again.
 
-No I/O, clock or randomness: times, in seconds, are handed in.
+No I/O, clock or randomness: the caller passes times, in seconds.
 """
 
 from __future__ import annotations
@@ -19,43 +19,51 @@
 from gullmount.distribution.versions import NO_VERSION, Version
 from gullmount.rpc.errors import InvalidMessageError
 
-SNAPSHOT_RETRY_SECONDS = 3.0  # after which a requested snapshot that did not come is requested again
-MAX_RETRY_DOUBLINGS = 4  # of that wait: a topic that can't be decoded comes whole each time
-MAX_ERRORS_LOGGED = 20  # different errors of one stream; all are counted
+# The first wait before a requested snapshot that has not arrived is requested again.
+SNAPSHOT_RETRY_SECONDS = 3.0
+
+# The wait doubles this many times, since a topic that can't be decoded is sent in full each time.
+MAX_RETRY_DOUBLINGS = 4
+
+# The number of different errors of one stream that are logged. All errors are counted.
+MAX_ERRORS_LOGGED = 20
 
 
 @dataclass
 class SubscriberCounters:
-    """Counts of one subscriber, from its start."""
+    """Counters of one subscriber since its start."""
 
     bytes_in: int = 0
     bytes_out: int = 0
     messages: int = 0
     """Lines received."""
     snapshots: int = 0
-    """Topics replaced by a snapshot."""
+    """Snapshots that were applied."""
     changes: int = 0
-    """Topics changed on top of what was held."""
+    """Updates with changes that were applied."""
     old: int = 0
-    """Updates that were held already, or older."""
+    """Updates to a version that was held already, or to an older one."""
     gaps: int = 0
-    """Changes that did not go on top of what was held."""
+    """Updates with changes that did not apply to the held version."""
     unasked: int = 0
     """Updates of topics that are not subscribed to."""
     lower_epoch: int = 0
-    """Lines of an origin's earlier epoch."""
+    """Lines whose sender's origin is in an earlier epoch than the highest one known."""
     not_understood: int = 0
     """Lines or topics that could not be decoded."""
     moves: int = 0
-    """Streams begun at another relay than the one before."""
+    """Streams begun at another relay than the previous stream."""
 
 
 @dataclass(frozen=True)
 class AppliedUpdate:
     """One topic's update that was applied.
 
-    `entries` holds values by key, None for a key that was removed; all there are if `is_snapshot`. It is
-    empty where values are not decoded.
+    Attributes:
+        topic: The name of the topic.
+        version: The version of the topic after the update.
+        is_snapshot: Whether `entries` holds all entries of the topic.
+        entries: Decoded values by key; None for a removed key. Empty if the receiver does not decode values.
     """
 
     topic: str
@@ -66,37 +74,50 @@
 
 @dataclass
 class LineResult:
-    """What became of a line."""
+    """The result of receiving a line."""
 
     updates: list[AppliedUpdate] = field(default_factory=list)
     touched_topics: list[str] = field(default_factory=list)
-    """Topics that changed or have a gap."""
+    """Topics that changed or lack an update."""
     errors: list[str] = field(default_factory=list)
-    """Each is to be logged."""
+    """Errors that the caller logs."""
     sender_is_behind: bool = False
-    """The sender is behind what is known here, or has lost the origin."""
+    """Whether the sender knows of less than the store, or has lost the origin."""
 
 
 class SnapshotRequest(NamedTuple):
-    """When a topic was requested last, and how often."""
+    """The time of the last request for a topic, and the number of requests."""
 
     requested_at: float
     attempts: int
 
 
 class UpdateReceiver:
-    """Takes lines into `store`; `decode_values` for a proxy, while a relay only forwards them."""
+    """Applies received lines to a topic store.
+
+    Attributes:
+        store: The topic store.
+        decode_values: Whether values are decoded. A proxy needs them; a relay only forwards them.
+        counters: The counters of the subscriber.
+        snapshot_requests: The requests for topics that have not arrived yet, by topic.
+        logged_errors: The errors of the current stream that were handed out for the log.
+    """
 
     def __init__(self, store: TopicStore, *, decode_values: bool = True) -> None:
-        """Start without a stream."""
+        """Starts without a stream."""
         self.store = store
         self.decode_values = decode_values
         self.counters = SubscriberCounters()
         self.snapshot_requests: dict[str, SnapshotRequest] = {}
-        self.logged_errors: set[str] = set()  # of this stream
+        self.logged_errors: set[str] = set()
 
     def receive(self, line: bytes, wall: float) -> LineResult:
-        """Take in a line; `wall` is the time of the wall clock. Never raises: errors are counted."""
+        """Applies a line. Errors are counted and never raised.
+
+        Args:
+            line: The line.
+            wall: The time of the wall clock, in seconds.
+        """
         result, counters = LineResult(), self.counters
         counters.messages += 1
         try:
@@ -119,7 +140,7 @@
         return result
 
     def apply_updates(self, message: UpdateLine, result: LineResult) -> None:
-        """Apply a line's updates; the topics that could not be decoded are to be requested again."""
+        """Applies a line's updates, and marks topics that could not be decoded to be requested again."""
         for malformed in message.malformed:
             self.counters.not_understood += 1
             self.record_error(result, malformed.problem)
@@ -129,13 +150,13 @@
             self.apply(update, message, result)
 
     def record_error(self, result: LineResult, problem: str) -> None:
-        """An error is logged once a stream."""
+        """Adds an error to the result, once per stream."""
         if problem not in self.logged_errors and len(self.logged_errors) < MAX_ERRORS_LOGGED:
             self.logged_errors.add(problem)
             result.errors.append(problem)
 
     def apply(self, update: TopicUpdate, message: UpdateLine, result: LineResult) -> None:
-        """Apply one topic's update of a message."""
+        """Applies one topic's update of a message."""
         counters = self.counters
         match self.store.apply(update, message.as_of, message.complete):
             case ApplyResult.APPLIED:
@@ -153,10 +174,11 @@
                 counters.unasked += 1
                 self.record_error(result, "topic that is not subscribed to")
             case ApplyResult.LOWER_EPOCH:
-                counters.lower_epoch += 1  # not reached: such a line is dropped whole
+                # Not reached, since `receive` drops such a line as a whole.
+                counters.lower_epoch += 1
 
     def decode_update(self, update: TopicUpdate) -> AppliedUpdate:
-        """The update with its values decoded, if they are to be."""
+        """Returns the update, with its values decoded if `decode_values` is set."""
         entries: dict[str, Any | None] = {}
         if self.decode_values:
             for key, raw in update.entries.items():
@@ -165,10 +187,10 @@
         return AppliedUpdate(update.topic, update.version, update.is_snapshot, entries)
 
     def due_requests(self, now: float) -> dict[str, Version]:
-        """Topics to request now on the stream there is, each with the version that is held for it.
+        """Returns the topics to request now on the current stream, each with NO_VERSION.
 
-        Those with a gap, again after a while, and those never received, once. Where the request fails, a new
-        stream is to be begun.
+        A topic with a gap is requested again after a wait, a topic that was never received only once. If the
+        request fails, the caller begins a new stream.
         """
         wanted = {*self.store.gaps, *self.store.never_received()}
         previous_requests, self.snapshot_requests = self.snapshot_requests, {}
@@ -182,12 +204,12 @@
         return due
 
     def is_overdue(self, topic: str, request: SnapshotRequest, now: float) -> bool:
-        """Whether a topic with a gap is to be requested once more."""
+        """Returns whether a topic with a gap is to be requested again."""
         wait = SNAPSHOT_RETRY_SECONDS * 2 ** min(request.attempts - 1, MAX_RETRY_DOUBLINGS)
         return topic in self.store.gaps and now - request.requested_at >= wait
 
     def stream_started(self, now: float) -> None:
-        """A new stream was begun with what is held: all that is missing was requested by that."""
+        """Records that a new stream was begun, with a request that names all missing topics."""
         missing = (*self.store.gaps, *self.store.never_received())
         self.snapshot_requests = dict.fromkeys(missing, SnapshotRequest(now, 1))
         self.logged_errors.clear()
