--- a/gullmount/distribution/decoding.py
+++ b/gullmount/distribution/decoding.py
@@ -1,7 +1,7 @@
-"""Reads the messages of distribution, with limits on what is in them. No I/O, clock or randomness.
+"""Decodes the messages of distribution and checks their limits.
 
-What does not follow docs/protocols.md raises MalformedMessageError. Of a line with many topics only the
-malformed ones are left out.
+A message that does not follow docs/protocols.md raises MalformedMessageError. In a line with many topics,
+only the malformed topics are left out. No I/O, clock or randomness.
 """
 
 from __future__ import annotations
@@ -33,25 +33,45 @@
 from gullmount.distribution.versions import NO_VERSION, Version
 from gullmount.rpc.messages import MESSAGE_VERSION
 
-MAX_LINE_BYTES = 4 << 20  # a topic of the largest size with its frame
+# A line holds a topic of the largest size and the fields around it.
+MAX_LINE_BYTES = 4 << 20
+
 MAX_REQUEST_BYTES = 4 << 20
 MAX_CHANGES_REQUEST_BYTES = 4 * MAX_LINE_BYTES
-MAX_TOPICS = 20_000  # of one request
-MAX_CHANGES = 20_000  # of one request
-MAX_ZONES = 200  # of a relay's report
-MAX_NAME_CHARACTERS = 200  # of a subscriber, a service or a zone
+
+# The number of topics in one request.
+MAX_TOPICS = 20_000
+
+# The number of changes in one request.
+MAX_CHANGES = 20_000
+
+# The number of zones in a relay's report.
+MAX_ZONES = 200
+
+# The length of the name of a subscriber, a service or a zone.
+MAX_NAME_CHARACTERS = 200
+
 MAX_KEY_CHARACTERS = 300
-MAX_REVISION = 2**53  # beyond, numbers of JSON are not exact everywhere
-MAX_EPOCH_LEAD_MS = 3_600_000  # of an epoch over the wall clock here, for clocks that differ
-MAX_REVISIONS_PER_MS = 1  # that an origin may count in each ms of its epoch
-REVISION_ALLOWANCE = 1_000_000  # revisions beyond that, for clocks that differ
+
+# Some JSON implementations do not represent larger integers exactly.
+MAX_REVISION = 2**53
+
+# The time by which an epoch may be ahead of the local wall clock, since clocks differ.
+MAX_EPOCH_LEAD_MS = 3_600_000
+
+# The number of revisions that an origin may make in each millisecond since its epoch began.
+MAX_REVISIONS_PER_MS = 1
+
+# The number of revisions accepted beyond that rate, since clocks differ.
+REVISION_ALLOWANCE = 1_000_000
+
 MAX_PROBLEM_CHARACTERS = 200
 
 Decoded = TypeVar("Decoded")
 
 
 class LineHeader(msgspec.Struct):
-    """A stream's line, with its topics not decoded yet."""
+    """A line of a stream whose topics are not decoded yet."""
 
     v: int
     kind: str
@@ -75,7 +95,7 @@
 
 
 def decode_json(data: bytes | msgspec.Raw, kind: type[Decoded]) -> Decoded:
-    """JSON as a type. Raises MalformedMessageError."""
+    """Decodes JSON as the type `kind`. Raises MalformedMessageError."""
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
@@ -84,7 +104,11 @@
 
 
 def decode_request(body: bytes, kind: type[Decoded], max_bytes: int = MAX_REQUEST_BYTES) -> Decoded:
-    """A request's body; what is in it is not checked yet. Raises MalformedMessageError."""
+    """Decodes the body of a request without checking the values of its fields.
+
+    Raises:
+        MalformedMessageError: The body is too long, has another protocol version or can't be decoded.
+    """
     if len(body) > max_bytes:
         raise MalformedMessageError("overlong")
     version = decode_json(body, ProtocolVersion).v
@@ -94,9 +118,16 @@
 
 
 def check_version(version: Version, wall: float) -> None:
-    """Refuse a version from far ahead, which a true one would never pass.
+    """Refuses a version that is too far ahead of the local clock.
+
+    If such a version were accepted, no genuine version would ever be newer.
+
+    Args:
+        version: The version.
+        wall: The time of the local wall clock, in seconds.
 
-    `wall`: seconds of the wall clock here. Raises MalformedMessageError.
+    Raises:
+        MalformedMessageError: The epoch or the revision is out of range.
     """
     epoch, revision = version
     now_ms = wall * 1000.0
@@ -108,13 +139,13 @@
 
 
 def check_name(name: str, field: str) -> None:
-    """Refuse an empty, long or unprintable name. Raises MalformedMessageError."""
+    """Refuses a name that is empty, too long or not printable. Raises MalformedMessageError."""
     if not 0 < len(name) <= MAX_NAME_CHARACTERS or not name.isprintable():
         raise MalformedMessageError(field, "no name")
 
 
 def check_topic(topic: str) -> None:
-    """Refuse what is not a kind and a service. Raises MalformedMessageError."""
+    """Refuses a topic that is not a known kind and a service. Raises MalformedMessageError."""
     kind, _, service = topic.partition("/")
     if kind not in TOPIC_KINDS:
         raise MalformedMessageError("topic", "no such kind")
@@ -122,7 +153,7 @@
 
 
 def check_versions(versions: dict[str, Version], wall: float) -> None:
-    """Check versions by topic. Raises MalformedMessageError."""
+    """Checks versions by topic. Raises MalformedMessageError."""
     if len(versions) > MAX_TOPICS:
         raise MalformedMessageError("topics", "too many")
     for topic, version in versions.items():
@@ -131,7 +162,10 @@
 
 
 def check_rejections(rejections: dict[str, Rejection], wall: float) -> dict[str, Rejection]:
-    """Rejections by topic with their reasons cut to length. Raises MalformedMessageError."""
+    """Checks rejections by topic and returns them with their reasons truncated.
+
+    Raises MalformedMessageError.
+    """
     check_versions({topic: rejection.version for topic, rejection in rejections.items()}, wall)
     return {
         topic: rejection._replace(reason=rejection.reason[:MAX_REASON_CHARACTERS])
@@ -140,7 +174,7 @@
 
 
 def parse_subscribe_request(body: bytes, wall: float) -> SubscribeRequest:
-    """A subscriber's request. Raises MalformedMessageError."""
+    """Decodes and checks a subscriber's request. Raises MalformedMessageError."""
     message = decode_request(body, SubscribeRequest)
     check_name(message.subscriber, "follower")
     if message.zone or not message.extends:
@@ -155,7 +189,7 @@
 
 
 def parse_acknowledgement(body: bytes, wall: float) -> AcknowledgementReport:
-    """A subscriber's report. Raises MalformedMessageError."""
+    """Decodes and checks a subscriber's report. Raises MalformedMessageError."""
     message = decode_request(body, AcknowledgementReport)
     check_name(message.subscriber, "follower")
     check_versions(message.in_force, wall)
@@ -164,7 +198,7 @@
 
 
 def parse_relay_summary(body: bytes, wall: float) -> RelaySummaryReport:
-    """A relay's report. Raises MalformedMessageError."""
+    """Decodes and checks a relay's report. Raises MalformedMessageError."""
     message = decode_request(body, RelaySummaryReport)
     check_name(message.relay, "relay")
     if len(message.zones) > MAX_ZONES:
@@ -176,7 +210,7 @@
 
 
 def check_summary(summary: InForceSummary, wall: float) -> None:
-    """Refuse counts and lists that no relay sends. Raises MalformedMessageError."""
+    """Refuses negative counts, overlong lists and versions out of range. Raises MalformedMessageError."""
     counts = (
         summary.subscribers,
         summary.starting,
@@ -197,7 +231,7 @@
 
 
 def parse_changes(body: bytes) -> ChangesRequest:
-    """Changes for the origin. Raises MalformedMessageError."""
+    """Decodes and checks a request that makes changes at the origin. Raises MalformedMessageError."""
     message = decode_request(body, ChangesRequest, MAX_CHANGES_REQUEST_BYTES)
     if len(message.changes) > MAX_CHANGES:
         raise MalformedMessageError("changes", "too many")
@@ -213,7 +247,7 @@
 
 
 def parse_line(line: bytes, wall: float) -> UpdateLine | HeartbeatLine:
-    """A stream's line. Raises MalformedMessageError."""
+    """Decodes and checks a line of a stream. Raises MalformedMessageError."""
     if len(line) > MAX_LINE_BYTES:
         raise MalformedMessageError("overlong")
     header = decode_json(line, LineHeader)
@@ -224,7 +258,8 @@
     if not NO_VERSION <= complete <= header.as_of:
         raise MalformedMessageError("complete", "beyond as_of")
     if header.kind == HEARTBEAT_LINE_KIND:
-        if not header.origin_silent_seconds >= 0.0:  # nor NaN
+        # The negated comparison refuses NaN as well.
+        if not header.origin_silent_seconds >= 0.0:
             raise MalformedMessageError("stale", "no time")
         return HeartbeatLine(header.as_of, complete, header.more, header.origin_silent_seconds)
     if header.kind != UPDATE_LINE_KIND:
@@ -233,7 +268,7 @@
 
 
 def parse_updates(header: LineHeader, complete: Version, wall: float) -> UpdateLine:
-    """A line's updates; the malformed ones are named and left out."""
+    """Decodes the updates of a line. Malformed ones are left out and named in the result."""
     updates: list[TopicUpdate] = []
     malformed: list[MalformedTopic] = []
     for raw in header.topics:
@@ -245,7 +280,7 @@
 
 
 def topic_name_of(raw: msgspec.Raw) -> str:
-    """The name of a topic that could not be decoded; empty if it has none."""
+    """Returns the name of a topic that could not be decoded, or an empty string if it has none."""
     try:
         return decode_json(raw, TopicNameOnly).topic
     except MalformedMessageError:
@@ -253,7 +288,16 @@
 
 
 def parse_topic_update(raw: msgspec.Raw, as_of: Version, wall: float) -> TopicUpdate:
-    """One topic's update of a line as of a version. Raises MalformedMessageError."""
+    """Decodes and checks one topic's update.
+
+    Args:
+        raw: The update as JSON.
+        as_of: The newest version that the sender knows of. The update's version must not be newer.
+        wall: The time of the local wall clock, in seconds.
+
+    Raises:
+        MalformedMessageError: The update can't be decoded or is invalid.
+    """
     update = decode_json(raw, TopicUpdate)
     check_topic(update.topic)
     check_version(update.version, wall)
@@ -268,7 +312,7 @@
 
 
 def check_base(update: TopicUpdate) -> None:
-    """Refuse a base that changes can't go on top of. Raises MalformedMessageError."""
+    """Refuses a base that the changes can't have been made from. Raises MalformedMessageError."""
     if update.base_epoch:
         base = Version(update.base_epoch, update.base_revision)
         is_earlier = NO_VERSION < base < update.version and base.revision >= 0
@@ -281,7 +325,7 @@
 
 
 def check_history(update: TopicUpdate, revisions_by_key: dict[str, int]) -> None:
-    """Refuse a history that is not of the update's entries. Raises MalformedMessageError."""
+    """Refuses a history that does not match the update's entries. Raises MalformedMessageError."""
     revisions = revisions_by_key.values()
     if not update.is_snapshot or revisions_by_key.keys() != update.entries.keys():
         raise MalformedMessageError("changed", "other keys")
--- a/gullmount/distribution/topic_store.py
+++ b/gullmount/distribution/topic_store.py
@@ -1,8 +1,7 @@
 """Stores the topics that an origin, a relay or a subscriber holds, and applies updates and changes to them.
 
-An older version of a topic never replaces a newer one. Changes apply only to a version that they were made
-for.
-No I/O, clock or randomness.
+An older version of a topic never replaces a newer one. Changes apply only to a version that they were
+made for. No I/O, clock or randomness.
 """
 
 from __future__ import annotations
--- a/gullmount/distribution/update_receiver.py
+++ b/gullmount/distribution/update_receiver.py
@@ -22,7 +22,8 @@
 # The first wait before a requested snapshot that has not arrived is requested again.
 SNAPSHOT_RETRY_SECONDS = 3.0
 
-# The wait doubles this many times, since a topic that can't be decoded is sent in full each time.
+# The wait doubles with each request, but at most this many times. It grows because a topic that can't be
+# decoded is sent in full each time.
 MAX_RETRY_DOUBLINGS = 4
 
 # The number of different errors of one stream that are logged. All errors are counted.
