--- a/tests/distribution/test_acknowledgements.py
+++ b/tests/distribution/test_acknowledgements.py
@@ -1,4 +1,4 @@
-"""Reports of what is in force."""
+"""Tests the reports of the versions in force and of the rejected versions."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.support.subscription_scene import CONFIG, EPOCH, PAY
 
 
-def test_report_holds_what_is_not_confirmed_and_no_more() -> None:
+def test_report_holds_unconfirmed_topics_only() -> None:
     acknowledgements = Acknowledgements("u", "a")
     for revision in range(1, 100):
         acknowledgements.record_applied(PAY, Version(EPOCH, revision))
--- a/tests/distribution/test_decoding.py
+++ b/tests/distribution/test_decoding.py
@@ -1,4 +1,4 @@
-"""Messages that are malformed, and only MalformedMessageError for them."""
+"""Tests that decoding refuses malformed messages, and only with InvalidMessageError."""
 
 from __future__ import annotations
 
--- a/tests/distribution/test_in_force_summary.py
+++ b/tests/distribution/test_in_force_summary.py
@@ -1,4 +1,4 @@
-"""Summaries merge in any order, and expire."""
+"""Tests that summaries merge in any order, and that those of a silent relay expire."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         max_size=6,
     )
 )
-def test_summaries_merge_in_any_order(summaries: list[InForceSummary]) -> None:
+def test_summaries_merge_to_the_same_total_in_any_order_and_grouping(summaries: list[InForceSummary]) -> None:
     total = merge_summaries(summaries)
     half = len(summaries) // 2
     assert total == merge_summaries(reversed(summaries))
--- a/tests/distribution/test_topic_log.py
+++ b/tests/distribution/test_topic_log.py
@@ -1,4 +1,4 @@
-"""One topic's log: tombstones, history, and updates made from it."""
+"""Tests one topic's log: its tombstones, its history and the updates made from it."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     update = update_over_wire(relay, at_relay_version)
     assert not update.is_snapshot and set(update.entries) == {"box-0", "new", "gone-meanwhile", "box-8"}
     assert behind.apply(update, new_origin.as_of) is ApplyResult.GAP, (
-        "on top of just that version, not of an earlier one"
+        "the changes apply to the replaced version only, not to an earlier one"
     )
     assert at_relay_version.apply(update, new_origin.as_of) is ApplyResult.APPLIED
     assert update_over_wire(relay, behind).is_snapshot
     assert entries_of(at_relay_version, PAY) == entries_of(relay, PAY) == entries_of(new_origin, PAY)
-    # it tells on what it holds now, by revisions of the new epoch only
+    # It can send changes from its current version only, by revisions of the new epoch.
     assert at_relay_version.logs[PAY].history_floor == at_relay_version.version(PAY).revision
 
 
@@ -71,7 +71,7 @@
     without_history = TopicStore([PAY])
     without_history.apply(update_over_wire(origin, without_history), origin.as_of)
     assert without_history.logs[PAY].history_floor == origin.as_of.revision, (
-        "it cannot know what has gone since"
+        "without history it cannot know which keys were removed earlier"
     )
 
 
--- a/tests/distribution/test_topic_store.py
+++ b/tests/distribution/test_topic_store.py
@@ -1,4 +1,4 @@
-"""Topic stores of an origin, a relay and a subscriber, beside a plain model."""
+"""Tests the topic stores of an origin, a relay and a subscriber, in part against a plain model."""
 
 from __future__ import annotations
 
@@ -36,9 +36,10 @@
 def test_relay_and_subscriber_hold_each_version_as_it_was_at_the_origin(
     changes: list[list[tuple[str, int | None]]], relay_receives: list[bool], tombstones: int, history: bool
 ) -> None:
-    """A subscriber that receives from origin or relay at random holds what the plain model held.
+    """Compares relay and subscriber with a plain model at each version that they hold.
 
-    Few tombstones are kept; it is compared at each version that it holds.
+    The subscriber receives from the origin or from the relay, which itself receives at random. Few tombstones
+    are kept.
     """
     original_limit, topic_log.MAX_TOMBSTONES = topic_log.MAX_TOMBSTONES, tombstones
     try:
@@ -159,7 +160,7 @@
     assert entries_of(disconnected, PAY) == {"a": "new", "b": 1}
 
 
-def test_commit_without_a_difference_makes_no_revision() -> None:
+def test_commit_of_unchanged_values_makes_no_revision() -> None:
     origin = TopicStore(epoch=EPOCH)
     version, topics = origin.commit([(PAY, "a", {"x": 1}), (CONFIG, "routes", [])])
     assert version == (EPOCH, 1) and sorted(topics) == [PAY, CONFIG]
--- a/tests/distribution/test_update_receiver.py
+++ b/tests/distribution/test_update_receiver.py
@@ -1,4 +1,4 @@
-"""Lines taken into a topic store, with malformed ones among them."""
+"""Tests receiving lines into a topic store, some of them malformed."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     valid = {"topic": CONFIG, "version": [EPOCH, 2], "whole": True, "entries": {"routes": [1]}}
     for _ in range(3):
         result = receiver.receive(update_line([malformed, valid], Version(EPOCH, 3)), WALL)
-    assert receiver.counters.not_understood == 3 and not result.errors, "one line of the log for a stream"
+    assert receiver.counters.not_understood == 3 and not result.errors, "an error is logged once per stream"
     assert entries_of(receiver.store, PAY) == {"a": 1} and entries_of(receiver.store, CONFIG) == {
         "routes": [1]
     }
--- a/tests/distribution/test_versions.py
+++ b/tests/distribution/test_versions.py
@@ -1,4 +1,4 @@
-"""Versions are ordered as pairs."""
+"""Tests the order of versions."""
 
 from __future__ import annotations
 
--- a/tests/support/subscription_scene.py
+++ b/tests/support/subscription_scene.py
@@ -1,4 +1,4 @@
-"""Subscriptions of an origin with subscribers that receive and report over the wire's messages."""
+"""An origin's subscriptions with subscribers that receive and report by encoded messages."""
 
 from __future__ import annotations
 
@@ -19,8 +19,12 @@
 from gullmount.distribution.update_receiver import UpdateReceiver
 from gullmount.distribution.versions import Version
 
-WALL = 1e6  # s
-EPOCH = 900_000_000  # ms: 1e5 s before WALL
+# The time of the wall clock, in seconds.
+WALL = 1e6
+
+# The epoch of the origin, in milliseconds: 1e5 s before WALL.
+EPOCH = 900_000_000
+
 PAY = "boxes/pay"
 CONFIG = "config/pay"
 
@@ -41,7 +45,7 @@
 def update_over_wire(
     origin: TopicStore, subscriber: TopicStore, name: str = PAY, history: bool = False
 ) -> TopicUpdate:
-    """The origin's update for what the subscriber holds, as it is on the wire."""
+    """Encodes and decodes the origin's update for the version that the subscriber holds."""
     raw = origin.encoded_update(name, subscriber.version(name), history)
     return decoding.parse_topic_update(msgspec.Raw(raw), origin.as_of, WALL)
 
@@ -51,8 +55,10 @@
 )
 
 
+# Updates that are malformed in a line as of revision 3 of EPOCH.
 MALFORMED_TOPICS: list[dict[str, Any]] = [
-    {"topic": PAY, "version": [EPOCH, 4], "whole": True, "entries": {"b": 1}},  # beyond the sender's own
+    # The version is newer than the sender's own, which is revision 3.
+    {"topic": PAY, "version": [EPOCH, 4], "whole": True, "entries": {"b": 1}},
     {"topic": PAY, "version": [EPOCH, 2**60], "whole": True, "entries": {"b": 1}},
     {"topic": PAY, "version": [EPOCH + 1, 1], "whole": True, "entries": {"b": 1}},
     {"topic": PAY, "version": [EPOCH, 3], "from": 4, "entries": {"b": 1}},
@@ -104,7 +110,7 @@
         )  # fmt: skip
 
     def batch(self, name: str, max_bytes: int = 10**6) -> list[str]:
-        """The topics of the subscriber's next batch, in their order."""
+        """Delivers the subscriber's next batch as applied, and returns its topics in their order."""
         batch = self.subscriptions.next_batch(name, self.sessions[name], max_bytes)
         if batch is None:
             return []
@@ -114,12 +120,14 @@
         return [sent_topic["topic"] for sent_topic in json.loads(batch.line)["topics"]]
 
     def report(self, name: str) -> None:
+        """Sends the subscriber's reports until all its topics are confirmed."""
         while (pending_report := self.acknowledgements[name].next_report()) is not None:
             pending_report = decoding.parse_acknowledgement(encoding.encode(pending_report), WALL)
             assert self.subscriptions.acknowledge(name, pending_report.in_force, pending_report.rejections)
             self.acknowledgements[name].confirm(pending_report)
 
     def settle(self, *names: str) -> None:
+        """Delivers all batches of these subscribers and sends their reports."""
         for name in names:
             while self.batch(name):
                 pass
