--- a/gullmount/distribution/in_force_summary.py
+++ b/gullmount/distribution/in_force_summary.py
@@ -53,9 +53,9 @@
 
     subscribers: int = msgspec.field(name="followers", default=0)
     starting: int = 0
-    """Subscribers that have not received each of their topics yet, and so do not serve by them."""
+    """Subscribers that have not received each of their topics yet, and serve no requests by them."""
     behind: int = 0
-    """Subscribers where a version that they did not reject is not in force yet."""
+    """Subscribers at which a version that they did not reject is not in force yet."""
     unusable: int = msgspec.field(name="unable", default=0)
     """Subscribers that rejected the newest version of a topic."""
     disconnected: int = msgspec.field(name="gone", default=0)
--- a/gullmount/distribution/topic_store.py
+++ b/gullmount/distribution/topic_store.py
@@ -138,7 +138,7 @@
         if not update.is_snapshot and not self.applies_on_top(update, held):
             self.mark_gap(topic)
             return ApplyResult.GAP
-        # The sender of this update may be behind the senders of the other topics.
+        # The sender of this update may be behind the senders of the other topics, so `as_of` may decrease.
         if log is None or topic in self.gaps:
             self.as_of = min(self.as_of, max(update.version, as_of if complete is None else complete))
         complete_before = self.gaps.pop(topic, self.as_of)
@@ -226,7 +226,7 @@
     def open_topic(self, topic: str) -> TopicLog:
         """Returns the topic's log; makes an empty one if there is none.
 
-        With an empty log, subscribers are sent the fact that the topic is empty.
+        The empty log lets subscribers learn that the topic is empty.
         """
         log = self.logs.get(topic)
         if log is None:
--- a/gullmount/distribution/topic_update.py
+++ b/gullmount/distribution/topic_update.py
@@ -24,7 +24,7 @@
 
 
 class TopicUpdate(msgspec.Struct, omit_defaults=True):
-    """A topic's update on the wire: a snapshot, or changes on top of a base.
+    """A topic's update on the wire: a snapshot, or changes to a base version.
 
     A snapshot replaces the held topic. Changes apply to a held version of the same epoch whose revision is at
     least `base_revision`. With `base_epoch` they apply only to exactly the version
--- a/tests/distribution/test_topic_store.py
+++ b/tests/distribution/test_topic_store.py
@@ -121,15 +121,15 @@
         if revision == 1:
             store.apply(update_over_wire(origin, store), origin.as_of)
             base = origin.as_of
-    late_changes = decoding.parse_topic_update(
+    later_changes = decoding.parse_topic_update(
         msgspec.Raw(origin.encoded_update(PAY, Version(EPOCH, 2), False)), origin.as_of, WALL
     )
-    assert late_changes.base_revision == 2 and store.apply(late_changes, origin.as_of) is ApplyResult.GAP
+    assert later_changes.base_revision == 2 and store.apply(later_changes, origin.as_of) is ApplyResult.GAP
     assert store.version(PAY) == base and store.held_versions() == {PAY: NO_VERSION}
     # The missing changes arrive late and apply to the held version, which closes the gap.
     missing_changes = topic_update(PAY, Version(EPOCH, 2), {"a": 2}, base_revision=1)
     assert store.apply(missing_changes, origin.as_of) is ApplyResult.APPLIED and not store.gaps
-    assert store.apply(late_changes, origin.as_of) is ApplyResult.APPLIED
+    assert store.apply(later_changes, origin.as_of) is ApplyResult.APPLIED
     assert entries_of(store, PAY) == entries_of(origin, PAY) == {"a": 2, "b": 3}
 
 
--- a/tests/support/subscription_scene.py
+++ b/tests/support/subscription_scene.py
@@ -50,6 +50,7 @@
     return decoding.parse_topic_update(msgspec.Raw(raw), origin.as_of, WALL)
 
 
+# The changes of one commit: keys with their new values, None for a removed key.
 steps = st.lists(
     st.tuples(st.sampled_from("abcdef"), st.one_of(st.none(), st.integers(0, 3))), min_size=1, max_size=4
 )
