--- a/tests/distribution/test_acknowledgements.py
+++ b/tests/distribution/test_acknowledgements.py
@@ -1,4 +1,4 @@
-"""Reports of what is in force."""
+"""Tests the reports of the versions in force and of the rejected versions."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 from tests.support.subscription_scene import CONFIG, EPOCH, PAY
 
 
-def test_report_holds_what_is_not_confirmed_and_no_more() -> None:
+def test_report_holds_unconfirmed_topics_only() -> None:
     acknowledgements = Acknowledgements("u", "a")
     for revision in range(1, 100):
-        acknowledgements.applied(PAY, Version(EPOCH, revision))
-    sent = acknowledgements.next_report()
-    assert sent is not None and sent.in_force == {PAY: (EPOCH, 99)}
-    acknowledgements.applied(PAY, Version(EPOCH, 100))
-    acknowledgements.rejected(CONFIG, Version(EPOCH, 100), "x" * 500)
-    acknowledgements.confirm(sent)
-    again = acknowledgements.next_report()
+        acknowledgements.record_applied(PAY, Version(EPOCH, revision))
+    first_report = acknowledgements.next_report()
+    assert first_report is not None and first_report.in_force == {PAY: (EPOCH, 99)}
+    acknowledgements.record_applied(PAY, Version(EPOCH, 100))
+    acknowledgements.record_rejected(CONFIG, Version(EPOCH, 100), "x" * 500)
+    acknowledgements.confirm(first_report)
+    second_report = acknowledgements.next_report()
     assert (
-        again is not None
-        and again.in_force == {PAY: (EPOCH, 100)}
-        and len(again.rejections[CONFIG].reason) == 100
+        second_report is not None
+        and second_report.in_force == {PAY: (EPOCH, 100)}
+        and len(second_report.rejections[CONFIG].reason) == 100
     )
-    acknowledgements.confirm(again)
+    acknowledgements.confirm(second_report)
     assert acknowledgements.next_report() is None
-    acknowledgements.applied(CONFIG, Version(EPOCH, 101))
-    last = acknowledgements.next_report()
-    assert last is not None and last.rejections == {}
+    acknowledgements.record_applied(CONFIG, Version(EPOCH, 101))
+    third_report = acknowledgements.next_report()
+    assert third_report is not None and third_report.rejections == {}
--- a/tests/distribution/test_in_force_summary.py
+++ b/tests/distribution/test_in_force_summary.py
@@ -1,11 +1,11 @@
-"""Summaries merge in any order, and expire."""
+"""Tests that summaries merge in any order, and that those of a silent relay expire."""
 
 from __future__ import annotations
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullmount.distribution.in_force_summary import InForceSummary, RelaySummaries, merged
+from gullmount.distribution.in_force_summary import InForceSummary, RelaySummaries, merge_summaries
 from gullmount.distribution.versions import Version
 
 versions = st.builds(Version, st.integers(1, 3), st.integers(0, 9))
@@ -24,14 +24,14 @@
         max_size=6,
     )
 )
-def test_summaries_merge_in_any_order(ones: list[InForceSummary]) -> None:
-    whole = merged(ones)
-    half = len(ones) // 2
-    assert whole == merged(reversed(ones))
-    assert whole == merged([merged(ones[:half]), merged(ones[half:])])
-    known = [one.lowest for one in ones if one.lowest is not None]
-    assert whole.lowest == min(known, default=None) and whole.subscribers == sum(
-        one.subscribers for one in ones
+def test_summaries_merge_to_the_same_total_in_any_order_and_grouping(summaries: list[InForceSummary]) -> None:
+    total = merge_summaries(summaries)
+    half = len(summaries) // 2
+    assert total == merge_summaries(reversed(summaries))
+    assert total == merge_summaries([merge_summaries(summaries[:half]), merge_summaries(summaries[half:])])
+    known = [part.lowest for part in summaries if part.lowest is not None]
+    assert total.lowest == min(known, default=None) and total.subscribers == sum(
+        part.subscribers for part in summaries
     )
 
 
--- a/tests/support/subscription_scene.py
+++ b/tests/support/subscription_scene.py
@@ -1,4 +1,4 @@
-"""Subscriptions of an origin with subscribers that receive and report over the wire's messages."""
+"""An origin's subscriptions with subscribers that receive and report by encoded messages."""
 
 from __future__ import annotations
 
@@ -19,40 +19,47 @@
 from gullmount.distribution.update_receiver import UpdateReceiver
 from gullmount.distribution.versions import Version
 
-WALL = 1e6  # s
-EPOCH = 900_000_000  # ms: 1e5 s before WALL
+# The time of the wall clock, in seconds.
+WALL = 1e6
+
+# The epoch of the origin, in milliseconds: 1e5 s before WALL.
+EPOCH = 900_000_000
+
 PAY = "boxes/pay"
 CONFIG = "config/pay"
 
 
-def topic_update(topic: str, version: Version, entries: dict[str, Any], **more: Any) -> TopicUpdate:
-    raws = {key: msgspec.Raw(msgspec.json.encode(value)) for key, value in entries.items()}
-    return TopicUpdate(topic, version, raws, **more)
+def topic_update(topic: str, version: Version, entries: dict[str, Any], **fields: Any) -> TopicUpdate:
+    raw_entries = {key: msgspec.Raw(msgspec.json.encode(value)) for key, value in entries.items()}
+    return TopicUpdate(topic, version, raw_entries, **fields)
 
 
 def entries_of(topics: TopicStore, name: str) -> dict[str, Any]:
     return {key: msgspec.json.decode(value) for key, value in topics.logs[name].snapshot().items()}
 
 
-def update_line(topics: list[dict[str, Any]], as_of: Version, **more: Any) -> bytes:
-    return json.dumps({"v": 1, "kind": "told", "as_of": as_of, "topics": topics, **more}).encode()
+def update_line(topics: list[dict[str, Any]], as_of: Version, **fields: Any) -> bytes:
+    return json.dumps({"v": 1, "kind": "told", "as_of": as_of, "topics": topics, **fields}).encode()
 
 
 def update_over_wire(
     origin: TopicStore, subscriber: TopicStore, name: str = PAY, history: bool = False
 ) -> TopicUpdate:
-    """The origin's update for what the subscriber holds, as it is on the wire."""
+    """Encodes and decodes the origin's update for the version that the subscriber holds."""
     raw = origin.encoded_update(name, subscriber.version(name), history)
     return decoding.parse_topic_update(msgspec.Raw(raw), origin.as_of, WALL)
 
 
+# The changes of one commit: keys with their new values, None for a removed key.
 steps = st.lists(
     st.tuples(st.sampled_from("abcdef"), st.one_of(st.none(), st.integers(0, 3))), min_size=1, max_size=4
 )
 
 
-FAULTY: list[dict[str, Any]] = [
-    {"topic": PAY, "version": [EPOCH, 4], "whole": True, "entries": {"b": 1}},  # beyond the sender's own
+# Updates that are malformed in a line as of revision 3 of EPOCH.
+MALFORMED_TOPICS: list[dict[str, Any]] = [
+    # The version is newer than the sender's own, which is revision 3.
+    {"topic": PAY, "version": [EPOCH, 4], "whole": True, "entries": {"b": 1}},
     {"topic": PAY, "version": [EPOCH, 2**60], "whole": True, "entries": {"b": 1}},
     {"topic": PAY, "version": [EPOCH + 1, 1], "whole": True, "entries": {"b": 1}},
     {"topic": PAY, "version": [EPOCH, 3], "from": 4, "entries": {"b": 1}},
@@ -96,30 +103,32 @@
         if name not in self.receivers:
             self.receivers[name] = UpdateReceiver(TopicStore(self.names if topics is None else topics))
             self.acknowledgements[name] = Acknowledgements(name, zone)
-        asked = self.acknowledgements[name].subscribe_request(self.receivers[name].store)
-        asked = decoding.parse_subscribe_request(encoding.encode(asked), WALL)
+        request = self.acknowledgements[name].subscribe_request(self.receivers[name].store)
+        request = decoding.parse_subscribe_request(encoding.encode(request), WALL)
         self.sessions[name] = self.subscriptions.subscribe(
-            name, asked.zone, asked.held, now,
-            in_force=asked.in_force, rejections=asked.rejections, as_of=asked.as_of,
+            name, request.zone, request.held, now,
+            in_force=request.in_force, rejections=request.rejections, as_of=request.as_of,
         )  # fmt: skip
 
-    def batch(self, name: str, most: int = 10**6) -> list[str]:
-        """The topics of the subscriber's next batch, in their order."""
-        batch = self.subscriptions.next_batch(name, self.sessions[name], most)
+    def batch(self, name: str, max_bytes: int = 10**6) -> list[str]:
+        """Delivers the subscriber's next batch as applied, and returns its topics in their order."""
+        batch = self.subscriptions.next_batch(name, self.sessions[name], max_bytes)
         if batch is None:
             return []
         result = self.receivers[name].receive(batch.line, WALL)
-        for one in result.updates:
-            self.acknowledgements[name].applied(one.topic, one.version)
-        return [one["topic"] for one in json.loads(batch.line)["topics"]]
+        for update in result.updates:
+            self.acknowledgements[name].record_applied(update.topic, update.version)
+        return [sent_topic["topic"] for sent_topic in json.loads(batch.line)["topics"]]
 
     def report(self, name: str) -> None:
-        while (one := self.acknowledgements[name].next_report()) is not None:
-            one = decoding.parse_acknowledgement(encoding.encode(one), WALL)
-            assert self.subscriptions.acknowledge(name, one.in_force, one.rejections)
-            self.acknowledgements[name].confirm(one)
+        """Sends the subscriber's reports until all its topics are confirmed."""
+        while (pending_report := self.acknowledgements[name].next_report()) is not None:
+            pending_report = decoding.parse_acknowledgement(encoding.encode(pending_report), WALL)
+            assert self.subscriptions.acknowledge(name, pending_report.in_force, pending_report.rejections)
+            self.acknowledgements[name].confirm(pending_report)
 
     def settle(self, *names: str) -> None:
+        """Delivers all batches of these subscribers and sends their reports."""
         for name in names:
             while self.batch(name):
                 pass
