--- a/gullmount/commands/proxy.py
+++ b/gullmount/commands/proxy.py
@@ -65,7 +65,7 @@
     if config.subscribes:
         config = config.without_discovery()
     arguments: dict[str, Any] = {"net": net, "state_store": state_store, "log": log, "wall": wall}
-    if config.takes_leases:
+    if config.leases_enabled:
         from gullmount.leases.leasing_proxy import LeasingProxy  # noqa: PLC0415 (not loaded where it is off)
 
         if clock is not None:
@@ -77,7 +77,7 @@
         from gullmount.distribution.subscribed_proxy import SubscribedProxy  # noqa: PLC0415 (not loaded where it is off)
 
         saved = FileStateStore(Path(config.relays.remembered)) if config.relays.remembered else None
-        running = instance if isinstance(instance, ProxyInstance) else instance.running
+        running = instance if isinstance(instance, ProxyInstance) else instance.proxy_instance
         instance = SubscribedProxy(
             config, instance, running, network=net, state_store=saved, wall=wall, log=log
         )
--- a/gullmount/fault_harness/lease_exploration.py
+++ b/gullmount/fault_harness/lease_exploration.py
@@ -103,7 +103,7 @@
         renewals_to_come = {
             state.renewal
             for state in map(lease_state_from, values)
-            if state.holder == lease.me and (not mine or state.renewal > lease.state.renewal)
+            if state.holder == lease.instance_number and (not mine or state.renewal > lease.state.renewal)
         }
         requested = tuple(
             (renewal, at) for renewal, at in sorted(lease.requested_at.items()) if renewal in renewals_to_come
--- a/gullmount/fault_harness/planted_defects.py
+++ b/gullmount/fault_harness/planted_defects.py
@@ -93,7 +93,7 @@
     def observe(self, now: float, chosen: RegisterValue) -> bool:
         """Observe the register as the lease does, with the later begin of the term."""
         state = lease_state_from(chosen.value)
-        mine = state.holder == self.me and state.renewal in self.requested_at
+        mine = state.holder == self.instance_number and state.renewal in self.requested_at
         if chosen.version > self.version and mine:
             self.requested_at[state.renewal] = now
         return super().observe(now, chosen)
--- a/gullmount/leases/assignment.py
+++ b/gullmount/leases/assignment.py
@@ -51,10 +51,15 @@
 
 
 def claim_time(
-    claimable_from: float, released: bool, handed_to: int | None, me: int, leases_held: int, draw: float
+    claimable_from: float,
+    released: bool,
+    handed_to: int | None,
+    instance_number: int,
+    leases_held: int,
+    draw: float,
 ) -> float:
     """Return when to claim a lease that may be claimed from `claimable_from` on; `draw` is from 0 to 1."""
-    if handed_to == me:
+    if handed_to == instance_number:
         return claimable_from
     spread = CLAIM_SPREAD_RELEASED_SECONDS if released else CLAIM_SPREAD_SECONDS
     delay = draw * spread + DELAY_PER_LEASE_SECONDS * leases_held
@@ -66,14 +71,14 @@
 
 
 def lease_to_request(
-    me: int, holders: Mapping[str, int | None], requested: Iterable[str], draw: float
+    instance_number: int, holders: Mapping[str, int | None], requested: Iterable[str], draw: float
 ) -> str | None:
     """Return the lease to request, if any: of those whose holder has most, none that is requested already."""
     counts = _leases_by_holder(holders)
     if not counts:
         return None
     most = max(counts.values())
-    if most < counts[me] + MIN_DIFFERENCE:
+    if most < counts[instance_number] + MIN_DIFFERENCE:
         return None
     candidates = sorted(
         name for name, holder in holders.items() if holder is not None and counts[holder] == most
@@ -82,11 +87,13 @@
     return candidates[int(draw * len(candidates))] if candidates else None
 
 
-def should_hand_over(me: int, holders: Mapping[str, int | None], requested_by: int | None) -> bool:
+def should_hand_over(
+    instance_number: int, holders: Mapping[str, int | None], requested_by: int | None
+) -> bool:
     """Return whether a holder gives one of its leases to who requests it."""
     counts = _leases_by_holder(holders)
     return (
         requested_by is not None
-        and requested_by != me
-        and counts[me] >= counts[requested_by] + MIN_DIFFERENCE
+        and requested_by != instance_number
+        and counts[instance_number] >= counts[requested_by] + MIN_DIFFERENCE
     )
--- a/gullmount/leases/config.py
+++ b/gullmount/leases/config.py
@@ -81,6 +81,6 @@
     ownership: LeaseConfig | None = None
 
     @property
-    def takes_leases(self) -> bool:
+    def leases_enabled(self) -> bool:
         """Whether the section is there and switched on."""
         return self.ownership is not None and self.ownership.switched_on
--- a/gullmount/leases/lease.py
+++ b/gullmount/leases/lease.py
@@ -26,7 +26,7 @@
     """One lease as one instance sees it.
 
     Attributes:
-        me: the instance's number.
+        instance_number: the instance's number.
         incarnation: names this process of the instance.
         term_seconds: for how long a claim or renewal lasts.
         margin_seconds: how much earlier this instance stops than its term ends.
@@ -37,8 +37,10 @@
         valid_until: up to when this instance may act as the holder.
     """
 
-    def __init__(self, me: int, incarnation: str, term_seconds: float, margin_seconds: float) -> None:
-        self.me = me
+    def __init__(
+        self, instance_number: int, incarnation: str, term_seconds: float, margin_seconds: float
+    ) -> None:
+        self.instance_number = instance_number
         self.incarnation = incarnation
         self.term_seconds = term_seconds
         self.margin_seconds = margin_seconds
@@ -63,7 +65,7 @@
     @property
     def is_mine(self) -> bool:
         """Whether the register names this incarnation of this instance, as far as it has seen."""
-        return self.state.holder == self.me and self.state.incarnation == self.incarnation
+        return self.state.holder == self.instance_number and self.state.incarnation == self.incarnation
 
     def is_valid(self, now: float) -> bool:
         """Return whether this instance may act as the holder."""
@@ -115,8 +117,10 @@
             state.renewal,
             state.term_seconds,
             state.pending_work,
-            requested_by=self.me,
+            requested_by=self.instance_number,
         )
 
     def _value(self, token: int, renewal: int, pending_work: Any) -> LeaseValue:
-        return LeaseValue(self.me, self.incarnation, token, renewal, self.term_seconds, pending_work)
+        return LeaseValue(
+            self.instance_number, self.incarnation, token, renewal, self.term_seconds, pending_work
+        )
--- a/gullmount/leases/lease_manager.py
+++ b/gullmount/leases/lease_manager.py
@@ -46,7 +46,7 @@
     def __init__(
         self,
         registers: Registers,
-        me: int,
+        instance_number: int,
         incarnation: str,
         names: list[str],
         *,
@@ -60,7 +60,7 @@
 
         Args:
             registers: where the leases stand.
-            me: the instance's number.
+            instance_number: the instance's number.
             incarnation: names this process of the instance.
             names: of the leased work.
             term_seconds: for how long a lease lasts without a renewal.
@@ -73,11 +73,12 @@
         self.random = random
         self.clock = clock
         self.log = log
-        self.me = me
+        self.instance_number = instance_number
         self.term_seconds = term_seconds
         self.waiting_for: set[str] = set()
         self.views = {
-            name: LeaseView(name, Lease(me, incarnation, term_seconds, margin_seconds)) for name in names
+            name: LeaseView(name, Lease(instance_number, incarnation, term_seconds, margin_seconds))
+            for name in names
         }
 
     async def run(self) -> None:
@@ -138,7 +139,7 @@
             requested = [
                 name for name, view in self.views.items() if view.lease.state.requested_by is not None
             ]
-            name = lease_to_request(self.me, self.holders, requested, self.random.random())
+            name = lease_to_request(self.instance_number, self.holders, requested, self.random.random())
             if name is not None and name in self.waiting_for:
                 view = self.views[name]
                 await self._change(view, view.lease.request)
@@ -194,7 +195,12 @@
         leases_held = sum(other.lease.is_mine for other in self.views.values())
         draw = self.random.random()
         due = claim_time(
-            lease.claimable_from, state.holder is None, state.handed_to, self.me, leases_held, draw
+            lease.claimable_from,
+            state.holder is None,
+            state.handed_to,
+            self.instance_number,
+            leases_held,
+            draw,
         )
         return max(due, view.loss_backoff.claim_not_before)
 
@@ -214,7 +220,7 @@
         lease = held.view.lease
         if not lease.is_mine or lease.state.token != held.token or now >= lease.valid_until:
             return False
-        if should_hand_over(self.me, self.holders, lease.state.requested_by):
+        if should_hand_over(self.instance_number, self.holders, lease.state.requested_by):
             held.handed_to = lease.state.requested_by
             return False
         return True
--- a/gullmount/leases/leasing_proxy.py
+++ b/gullmount/leases/leasing_proxy.py
@@ -33,7 +33,7 @@
     """A `ProxyInstance` that claims the leases of its file and does the work of those that it holds.
 
     Attributes:
-        running: the proxy instance itself.
+        proxy_instance: the proxy instance itself.
         leases: what is held.
         released: set once the leadership is given up for good.
     """
@@ -68,7 +68,7 @@
         self.log = log
         clocks = {} if wall is None else {"wall": wall}
         analysis_leased = LEADERSHIP in lease_config.jobs
-        self.running = ProxyInstance(
+        self.proxy_instance = ProxyInstance(
             config,
             net=net,
             seed=seed,
@@ -77,7 +77,7 @@
             analysis_leased=analysis_leased,
             **clocks,
         )
-        self.random = Random(self.running.seed + 1)
+        self.random = Random(self.proxy_instance.seed + 1)
         replicas = [lease_config.keepers[number] for number in sorted(lease_config.keepers)]
         self.registers = RegisterClient(net, replicas, self.random, lease_config.answer_within, log)
         self.leases = LeaseManager(
@@ -96,7 +96,7 @@
         self.released = anyio.Event()
 
     async def __aenter__(self) -> Self:
-        await self.running.__aenter__()
+        await self.proxy_instance.__aenter__()
         self.tasks = anyio.create_task_group()
         await self.tasks.__aenter__()
         if LEADERSHIP in self.leases.views:
@@ -113,7 +113,7 @@
         try:
             await self.tasks.__aexit__(kind, error, trace)
         finally:
-            await self.running.__aexit__(kind, error, trace)
+            await self.proxy_instance.__aexit__(kind, error, trace)
         return None
 
     async def stop(self) -> None:
@@ -121,14 +121,14 @@
         self.stopping.set()
         if LEADERSHIP in self.leases.views:
             await self.released.wait()
-        await self.running.stop()
+        await self.proxy_instance.stop()
 
     # The leader
 
     def _note_leader(self, state: LeaseState) -> None:
         pending = state.pending_work
         build = pending.get("lessened", 0) if isinstance(pending, dict) else 0
-        self.running.set_leader(state.holder, state.token, build if state.renewal == 0 else 0)
+        self.proxy_instance.set_leader(state.holder, state.token, build if state.renewal == 0 else 0)
 
     async def _lead(self) -> None:
         """Lead whenever the lease is held, until the instance stops."""
@@ -139,7 +139,7 @@
                     async with self.leases.hold(LEADERSHIP) as held:
                         await self._lead_while_held(held)
                 except* LeaseLostError:
-                    self.running.set_leader(None, self.leases.views[LEADERSHIP].lease.state.token)
+                    self.proxy_instance.set_leader(None, self.leases.views[LEADERSHIP].lease.state.token)
         self.released.set()
 
     async def _cancel_when_stopping(self, scope: anyio.CancelScope) -> None:
@@ -156,7 +156,7 @@
                 requested.append(build)
                 wanted.set()
 
-        self.running.on_traffic_reduction(request)
+        self.proxy_instance.on_traffic_reduction(request)
         async with anyio.create_task_group() as tasks:
             if self.lease_config.announce is not None:
                 tasks.start_soon(self._announce, held, self.lease_config.announce)
@@ -167,7 +167,7 @@
                 await held.write({"lessened": build})
                 requested.clear()
                 if build:
-                    self.running.allow_traffic_reduction(build)
+                    self.proxy_instance.allow_traffic_reduction(build)
 
     async def _announce(self, held: HeldLease, receiver: AnnouncementConfig) -> None:
         """Tell the receiver whom the operators named who leads."""
--- a/tests/distribution/test_subscribed_proxy.py
+++ b/tests/distribution/test_subscribed_proxy.py
@@ -322,7 +322,7 @@
         party = scene.party("umpire", "10.0.6.1", "a")
         log = scene.log_of("umpire")
         inner = LeasingProxy(terms, net=party, seed=1, log=log)  # type: ignore[arg-type]
-        made = SubscribedProxy(terms, inner, inner.running, network=party, wall=scene.wall, log=log)
+        made = SubscribedProxy(terms, inner, inner.proxy_instance, network=party, wall=scene.wall, log=log)
         async with made:
             with anyio.fail_after(60):
                 await made.listening.wait()
--- a/tests/leases/test_config.py
+++ b/tests/leases/test_config.py
@@ -25,7 +25,7 @@
         (f'{{"keepers": {members}, "switched_on": false}}', False),
         (f'{{"keepers": {members}, "switched_on": true}}', True),
     ):
-        assert parse_yaml(owned_file(section), "umpire.yaml", LeasingProxyConfig).takes_leases == owns
+        assert parse_yaml(owned_file(section), "umpire.yaml", LeasingProxyConfig).leases_enabled == owns
 
 
 @pytest.mark.parametrize(
