--- a/gullmount/leases/config.py
+++ b/gullmount/leases/config.py
@@ -25,7 +25,7 @@
         super().__init__(f"term is {term}, less than {MIN_MARGINS_PER_TERM:.0f} margins of {margin}")
 
 
-class LongAnswerTimeoutError(LeaseConfigError):
+class LongResponseTimeoutError(LeaseConfigError):
     """An answer may take so long that a term is lost by one that is late."""
 
     def __init__(self, answer_within: float) -> None:
@@ -71,7 +71,7 @@
         if self.term < MIN_MARGINS_PER_TERM * self.margin:
             raise ShortTermError(self.term, self.margin)
         if self.answer_within >= self.term / 2:
-            raise LongAnswerTimeoutError(self.answer_within)
+            raise LongResponseTimeoutError(self.answer_within)
         return self
 
 
--- a/gullmount/leases/held_lease.py
+++ b/gullmount/leases/held_lease.py
@@ -62,18 +62,18 @@
         view: LeaseView,
         clock: Callable[[], float],
         renew: Callable[[LeaseView, Any], Awaitable[bool]],
-        pause: Callable[[], Awaitable[None]],
+        wait_before_retry: Callable[[], Awaitable[None]],
     ) -> None:
         self.name = view.name
         self.view = view
         self.token = view.lease.state.token
         self.scope = anyio.CancelScope()
-        self.over = False
+        self.ended = False
         self.handed_to: int | None = None
         self.held_since = clock()
         self._clock = clock
         self._renew = renew
-        self._pause = pause
+        self._wait_before_retry = wait_before_retry
 
     @property
     def pending_work(self) -> Any:
@@ -83,7 +83,7 @@
     def check(self) -> None:
         """Raise LeaseLostError where this instance may not act any more."""
         lease = self.view.lease
-        if self.over or lease.state.token != self.token or not lease.is_valid(self._clock()):
+        if self.ended or lease.state.token != self.token or not lease.is_valid(self._clock()):
             raise LeaseLostError(self.name)
 
     async def write(self, pending_work: Any) -> None:
@@ -96,4 +96,4 @@
             if await self._renew(self.view, pending_work) and self.pending_work == pending_work:
                 self.check()
                 return
-            await self._pause()
+            await self._wait_before_retry()
--- a/gullmount/leases/lease.py
+++ b/gullmount/leases/lease.py
@@ -17,8 +17,8 @@
 
 MAX_CLOCK_DRIFT = 0.01  # share by which any clock may run fast or slow: a hundred times what quartz does
 EXPIRY_FACTOR = (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)  # of a term, for those who wait it out
-RENEW_AFTER_SHARE = 1 / 3  # of the term: two renewals may fail
-MAX_OPEN_RENEWALS = 8  # under way or of unknown outcome, whose beginning is remembered
+RENEW_AFTER_FRACTION = 1 / 3  # of the term: two renewals may fail
+MAX_PENDING_RENEWALS = 8  # under way or of unknown outcome, whose beginning is remembered
 NEVER = 1e18  # seconds
 
 
@@ -83,7 +83,7 @@
     @property
     def renewal_due(self) -> float:
         """When the holder is to renew it."""
-        return self.valid_until + self.margin_seconds - self.term_seconds * (1 - RENEW_AFTER_SHARE)
+        return self.valid_until + self.margin_seconds - self.term_seconds * (1 - RENEW_AFTER_FRACTION)
 
     # What is written, over the version seen
 
@@ -96,8 +96,8 @@
         """Return the value that begins another term."""
         renewal = max([self.state.renewal, *self.requested_at]) + 1
         self.requested_at[renewal] = now
-        for old in sorted(self.requested_at)[:-MAX_OPEN_RENEWALS]:
-            del self.requested_at[old]
+        for old_renewal in sorted(self.requested_at)[:-MAX_PENDING_RENEWALS]:
+            del self.requested_at[old_renewal]
         return self._value(self.state.token, renewal, pending_work)
 
     def release(self, handed_to: int | None = None) -> LeaseValue:
--- a/gullmount/leases/lease_manager.py
+++ b/gullmount/leases/lease_manager.py
@@ -29,8 +29,10 @@
 from gullmount.leases.log_events import LogEvent
 from gullmount.leases.messages import LeaseValue
 
-REBALANCE_INTERVAL_TERMS = 3.0  # between looks at whether another has more leases, up to twice that by chance
-RETRY_SECONDS = 0.1  # before a change with no good answer is tried again, up to twice that by chance
+MIN_REBALANCE_INTERVAL_TERMS = (
+    3.0  # between looks at whether another has more leases, up to twice that by chance
+)
+MIN_RETRY_SECONDS = 0.1  # before a change with no good answer is tried again, up to twice that by chance
 RELEASE_TIMEOUT_SECONDS = 1.0  # after that the others wait out the term
 MAX_WAIT_SECONDS = 3600.0
 
@@ -106,23 +108,23 @@
             await self._acquire(view)
         finally:
             self.waiting_for.discard(name)
-        held = HeldLease(view, self.clock, self._renew, self._pause)
+        held = HeldLease(view, self.clock, self._renew, self._wait_before_retry)
         self.log(LogEvent.LEASE_ACQUIRED, work=name, token=held.token)
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._keep, held)
+                tasks.start_soon(self._renew_until_ended, held)
                 with held.scope:
                     yield held
                 tasks.cancel_scope.cancel()
         finally:
-            over, held.over = held.over, True
-            await self._end(held, lost=over and held.handed_to is None)
-        if over:
+            ended, held.ended = held.ended, True
+            await self._finish(held, lost=ended and held.handed_to is None)
+        if ended:
             raise LeaseLostError(name)
 
-    async def _end(self, held: HeldLease, lost: bool) -> None:
+    async def _finish(self, held: HeldLease, lost: bool) -> None:
         now = self.clock()
-        held.view.loss_backoff.lease_ended(now, now - held.held_since, lost)
+        held.view.loss_backoff.record_lease_end(now, now - held.held_since, lost)
         self.log(LogEvent.LEASE_ENDED, work=held.name, token=held.token, lost=lost)
         if not lost:
             await self._release(held)
@@ -134,7 +136,7 @@
     async def _rebalance(self) -> None:
         """Request a lease of who has more, until cancelled; only leases that this instance goes for count."""
         while True:
-            interval = self.term_seconds * REBALANCE_INTERVAL_TERMS
+            interval = self.term_seconds * MIN_REBALANCE_INTERVAL_TERMS
             await anyio.sleep(interval * (1 + self.random.random()))
             requested = [
                 name for name, view in self.views.items() if view.lease.state.requested_by is not None
@@ -142,16 +144,16 @@
             name = lease_to_request(self.instance_number, self.holders, requested, self.random.random())
             if name is not None and name in self.waiting_for:
                 view = self.views[name]
-                await self._change(view, view.lease.request)
+                await self._change_register(view, view.lease.request)
 
-    async def _pause(self) -> None:
-        await anyio.sleep(RETRY_SECONDS * (1 + self.random.random()))
+    async def _wait_before_retry(self) -> None:
+        await anyio.sleep(MIN_RETRY_SECONDS * (1 + self.random.random()))
 
-    async def _change(self, view: LeaseView, make: Callable[[], LeaseValue]) -> bool:
+    async def _change_register(self, view: LeaseView, make_value: Callable[[], LeaseValue]) -> bool:
         """Write what `make` returns over the version seen; return whether the register holds it."""
         async with view.change_lock:
             expected_version = view.lease.version
-            value = make().as_json()
+            value = make_value().as_json()
             try:
                 changed, chosen = await self.registers.change(view.name, expected_version, value)
             except OutcomeUnknownError:
@@ -166,7 +168,7 @@
             return changed
 
     async def _renew(self, view: LeaseView, pending_work: Any) -> bool:
-        return await self._change(view, lambda: view.lease.renew(self.clock(), pending_work))
+        return await self._change_register(view, lambda: view.lease.renew(self.clock(), pending_work))
 
     # Acquiring
 
@@ -174,27 +176,27 @@
         lease = view.lease
         while True:
             changed = view.changed
-            due = self._claim_due(view)
+            due_at = self._claim_due_at(view)
             if lease.is_mine:
-                due = self.clock()  # a claim of ours whose outcome was not heard
-                if lease.is_valid(due):
+                due_at = self.clock()  # a claim of ours whose outcome was not heard
+                if lease.is_valid(due_at):
                     return
-            wait = due - self.clock()
-            with anyio.move_on_after(max(0.0, min(wait, MAX_WAIT_SECONDS))):
+            wait_seconds = due_at - self.clock()
+            with anyio.move_on_after(max(0.0, min(wait_seconds, MAX_WAIT_SECONDS))):
                 await changed.wait()
                 continue
-            if self.clock() < due:
+            if self.clock() < due_at:
                 continue  # the clock of the loop runs ahead of ours
-            claimed = await self._change(view, lambda: lease.claim(self.clock()))
+            claimed = await self._change_register(view, lambda: lease.claim(self.clock()))
             if claimed and lease.is_valid(self.clock()):
                 return
-            await self._pause()
+            await self._wait_before_retry()
 
-    def _claim_due(self, view: LeaseView) -> float:
+    def _claim_due_at(self, view: LeaseView) -> float:
         lease, state = view.lease, view.lease.state
         leases_held = sum(other.lease.is_mine for other in self.views.values())
         draw = self.random.random()
-        due = claim_time(
+        due_at = claim_time(
             lease.claimable_from,
             state.holder is None,
             state.handed_to,
@@ -202,21 +204,21 @@
             leases_held,
             draw,
         )
-        return max(due, view.loss_backoff.claim_not_before)
+        return max(due_at, view.loss_backoff.claim_not_before)
 
     # Holding
 
-    async def _keep(self, held: HeldLease) -> None:
+    async def _renew_until_ended(self, held: HeldLease) -> None:
         """Renew until the term is over or another has the lease; then end the body."""
         while True:
             now = self.clock()
-            if not self._may_keep(held, now):
+            if not self._should_keep(held, now):
                 break
             await self._wait_and_renew(held, now)
-        held.over = True
+        held.ended = True
         held.scope.cancel()
 
-    def _may_keep(self, held: HeldLease, now: float) -> bool:
+    def _should_keep(self, held: HeldLease, now: float) -> bool:
         lease = held.view.lease
         if not lease.is_mine or lease.state.token != held.token or now >= lease.valid_until:
             return False
@@ -227,20 +229,20 @@
 
     async def _wait_and_renew(self, held: HeldLease, now: float) -> None:
         lease, changed = held.view.lease, held.view.changed
-        due = min(lease.renewal_due, lease.valid_until)
-        if now < due:
-            with anyio.move_on_after(due - now):
+        due_at = min(lease.renewal_due, lease.valid_until)
+        if now < due_at:
+            with anyio.move_on_after(due_at - now):
                 await changed.wait()
             return
         with anyio.move_on_after(lease.valid_until - now):
             if not await self._renew(held.view, lease.state.pending_work):
-                await self._pause()
+                await self._wait_before_retry()
 
     async def _release(self, held: HeldLease) -> None:
         """Give the lease up, so that the next holder need not wait out the term."""
         lease = held.view.lease
         with anyio.move_on_after(RELEASE_TIMEOUT_SECONDS, shield=True):
             while lease.is_mine and lease.state.token == held.token:
-                if await self._change(held.view, lambda: lease.release(held.handed_to)):
+                if await self._change_register(held.view, lambda: lease.release(held.handed_to)):
                     return
-                await self._pause()
+                await self._wait_before_retry()
--- a/gullmount/leases/leasing_proxy.py
+++ b/gullmount/leases/leasing_proxy.py
@@ -24,7 +24,7 @@
 from gullmount.proxy import ProxyInstance, StateStore
 from gullmount.rpc import CallError, call
 
-LEADERSHIP = "judge"  # the leased work of the leader, as files and registers name it
+LEADER_LEASE = "judge"  # the leased work of the leader, as files and registers name it
 ANNOUNCEMENT_TIMEOUT_SECONDS = 2.0  # a late one is rejected by its token
 INCARNATION_BITS = 62
 
@@ -66,8 +66,8 @@
         self.config = config
         self.net = net
         self.log = log
-        clocks = {} if wall is None else {"wall": wall}
-        analysis_leased = LEADERSHIP in lease_config.jobs
+        clock_arguments = {} if wall is None else {"wall": wall}
+        analysis_leased = LEADER_LEASE in lease_config.jobs
         self.proxy_instance = ProxyInstance(
             config,
             net=net,
@@ -75,7 +75,7 @@
             state_store=state_store,
             log=log,
             analysis_leased=analysis_leased,
-            **clocks,
+            **clock_arguments,
         )
         self.random = Random(self.proxy_instance.seed + 1)
         replicas = [lease_config.keepers[number] for number in sorted(lease_config.keepers)]
@@ -99,47 +99,50 @@
         await self.proxy_instance.__aenter__()
         self.tasks = anyio.create_task_group()
         await self.tasks.__aenter__()
-        if LEADERSHIP in self.leases.views:
-            self.leases.views[LEADERSHIP].listeners.append(self._note_leader)
-            self.tasks.start_soon(self._lead)
+        if LEADER_LEASE in self.leases.views:
+            self.leases.views[LEADER_LEASE].listeners.append(self._update_leader)
+            self.tasks.start_soon(self._lead_until_stopped)
         self.tasks.start_soon(self.leases.run)
         self.tasks.start_soon(self.registers.follow_group)
         return self
 
     async def __aexit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self,
+        exception_type: type[BaseException] | None,
+        exception: BaseException | None,
+        traceback: TracebackType | None,
     ) -> bool | None:
         self.tasks.cancel_scope.cancel()
         try:
-            await self.tasks.__aexit__(kind, error, trace)
+            await self.tasks.__aexit__(exception_type, exception, traceback)
         finally:
-            await self.proxy_instance.__aexit__(kind, error, trace)
+            await self.proxy_instance.__aexit__(exception_type, exception, traceback)
         return None
 
     async def stop(self) -> None:
         """Give up what is held, accept nothing more, and wait until all accepted requests are answered."""
         self.stopping.set()
-        if LEADERSHIP in self.leases.views:
+        if LEADER_LEASE in self.leases.views:
             await self.released.wait()
         await self.proxy_instance.stop()
 
     # The leader
 
-    def _note_leader(self, state: LeaseState) -> None:
+    def _update_leader(self, state: LeaseState) -> None:
         pending = state.pending_work
         build = pending.get("lessened", 0) if isinstance(pending, dict) else 0
         self.proxy_instance.set_leader(state.holder, state.token, build if state.renewal == 0 else 0)
 
-    async def _lead(self) -> None:
+    async def _lead_until_stopped(self) -> None:
         """Lead whenever the lease is held, until the instance stops."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._cancel_when_stopping, tasks.cancel_scope)
             while True:
                 try:
-                    async with self.leases.hold(LEADERSHIP) as held:
+                    async with self.leases.hold(LEADER_LEASE) as held:
                         await self._lead_while_held(held)
                 except* LeaseLostError:
-                    self.proxy_instance.set_leader(None, self.leases.views[LEADERSHIP].lease.state.token)
+                    self.proxy_instance.set_leader(None, self.leases.views[LEADER_LEASE].lease.state.token)
         self.released.set()
 
     async def _cancel_when_stopping(self, scope: anyio.CancelScope) -> None:
@@ -148,35 +151,35 @@
 
     async def _lead_while_held(self, held: HeldLease) -> None:
         """Reduce the traffic of builds; which one stands in the register before that is begun."""
-        requested: list[int] = []
-        wanted = anyio.Event()
+        requested_builds: list[int] = []
+        build_requested = anyio.Event()
 
-        def request(build: int) -> None:
-            if not requested:
-                requested.append(build)
-                wanted.set()
+        def request_reduction(build: int) -> None:
+            if not requested_builds:
+                requested_builds.append(build)
+                build_requested.set()
 
-        self.proxy_instance.on_traffic_reduction(request)
+        self.proxy_instance.on_traffic_reduction(request_reduction)
         async with anyio.create_task_group() as tasks:
             if self.lease_config.announce is not None:
                 tasks.start_soon(self._announce, held, self.lease_config.announce)
             while True:
-                await wanted.wait()
-                wanted = anyio.Event()
-                build = requested[0]
+                await build_requested.wait()
+                build_requested = anyio.Event()
+                build = requested_builds[0]
                 await held.write({"lessened": build})
-                requested.clear()
+                requested_builds.clear()
                 if build:
                     self.proxy_instance.allow_traffic_reduction(build)
 
     async def _announce(self, held: HeldLease, receiver: AnnouncementConfig) -> None:
         """Tell the receiver whom the operators named who leads."""
-        number = 0
+        sequence_number = 0
         while True:
             held.check()
-            number += 1
+            sequence_number += 1
             announcement = LeaderAnnouncement(
-                work=held.name, holder=self.config.number, token=held.token, number=number
+                work=held.name, holder=self.config.number, token=held.token, number=sequence_number
             )
             body = msgspec.json.encode(announcement)
             try:
--- a/tests/leases/test_messages.py
+++ b/tests/leases/test_messages.py
@@ -13,14 +13,14 @@
 from tests.support.paths import DATA
 from tests.support.replicas import MEMBERS
 
-AS_READ: dict[str, Any] = json.loads((DATA / "replicas_883dea8" / "as_read.json").read_text())
+STORED_STATE: dict[str, Any] = json.loads((DATA / "replicas_883dea8" / "as_read.json").read_text())
 
 
-def test_a_lease_that_an_earlier_version_wrote_is_read_alike() -> None:
+def test_lease_of_an_earlier_version_is_read_with_the_same_fields() -> None:
     acceptor = AcceptorState(4, ReplicaGroup(0, MEMBERS, {}))
-    acceptor.restore(AS_READ["4"]["rows"])
+    acceptor.restore(STORED_STATE["4"]["rows"])
     state = lease_state_from(acceptor.registers["judge"].client_value)
-    expected = AS_READ["lease"]
+    expected = STORED_STATE["lease"]
     assert state == LeaseState(
         holder=expected["owner"],
         incarnation=expected["life"],
@@ -35,5 +35,5 @@
 
 
 @pytest.mark.parametrize("value", [None, 3, {}, {"owner": "1", "life": "", "token": 1, "beat": 0, "term": 1}])
-def test_a_value_that_is_no_lease_counts_as_free(value: Any) -> None:
+def test_value_that_is_not_a_lease_is_read_as_free(value: Any) -> None:
     assert lease_state_from(value) == FREE
