--- a/gullmount/leases/__init__.py
+++ b/gullmount/leases/__init__.py
@@ -1,5 +1,5 @@
-"""Work for the whole fleet has one holder at a time.
+"""Leases that let one proxy instance at a time do work for the whole fleet.
 
-A lease stands in a register of the replicas, with a fencing token that only grows. Off unless a proxy
-instance's file has the section `ownership` with `switched_on: true`.
+The replicas store each lease in a register, with a fencing token that only grows. Leases are off unless the
+proxy instance's file has the section `ownership` with `switched_on: true`.
 """
--- a/gullmount/leases/assignment.py
+++ b/gullmount/leases/assignment.py
@@ -1,14 +1,20 @@
-"""Which leases an instance goes for, and when: as many for each that offers, and none back and forth.
+"""Decides which leases an instance claims or requests, and when.
 
-No I/O, clock or randomness: times, in seconds of the instance's own clock, and draws are handed in. Nobody
-lists who offers. Two things spread the leases all the same. Who has some already claims a free one later, so
-that those with fewer come first. And who has at least two fewer than another requests one of that one's, by a
-mark in the lease's register (`requested_by`); the holder hands it over if it sees the same difference, and
-the register then says to whom (`handed_to`), whom all others let go first for a while. A difference of one
-moves nothing, so that leases come to rest.
+The aim is that all claiming instances hold equally many leases, and that no lease moves back and forth. There
+is no list of the claiming instances. Leases spread evenly all the same, by two rules:
 
-Whose term ended without its doing, as it was slow or cut off, claims that lease later each time, so that it
-does not take it back only to lose it again.
+- An instance that already holds leases claims a free one later, so that instances with fewer come first.
+- An instance that holds at least two leases fewer than another requests one of the other's. It marks the
+  lease's register (`requested_by`). The holder hands the lease over if it sees the same difference. The
+  register then names the recipient (`handed_to`), and all other instances delay their claims for a while.
+
+A difference of one moves no lease, so that the assignment becomes stable.
+
+An instance that loses its term because it is slow or disconnected waits longer after each loss before it
+claims that lease again. Otherwise it would claim the lease only to lose it again.
+
+The module has no I/O, clock or randomness: callers pass in times, in seconds of the instance's own clock, and
+random draws.
 """
 
 from __future__ import annotations
@@ -16,23 +22,31 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping
 
-CLAIM_JITTER_SECONDS = 0.5  # over which claims are drawn when a holder is gone: no herd
-RELEASED_CLAIM_JITTER_SECONDS = 0.2  # likewise where it gave up the lease
-DELAY_PER_LEASE_SECONDS = 0.6  # for each lease that one has already: more than others' draws differ
-HANDOVER_DELAY_SECONDS = 1.5  # for which a lease that was handed over waits for whom it is for
-INITIAL_LOSS_BACKOFF_TERMS = 1.0  # for which one does not claim a lease whose term it lost; doubles each time
+# Claims are spread at random over this time after a holder's term has ended, to avoid a thundering herd.
+CLAIM_JITTER_SECONDS = 0.5
+# Claims are spread at random over this time after a holder has released the lease.
+RELEASED_CLAIM_JITTER_SECONDS = 0.2
+# Delays a claim for each lease that the instance already holds. It exceeds the jitter, so that an instance
+# with fewer leases claims first.
+DELAY_PER_LEASE_SECONDS = 0.6
+# Other instances delay their claims by this time, so that the recipient of a handover claims first.
+HANDOVER_DELAY_SECONDS = 1.5
+# An instance does not claim a lease for this time after it lost the term. The time doubles with each loss.
+INITIAL_LOSS_BACKOFF_TERMS = 1.0
 MAX_LOSS_BACKOFF_TERMS = 16.0
-LOSS_RESET_TERMS = 8.0  # of holding a lease, after which earlier losses of it count no more
+# Earlier losses of a lease no longer count once it has been held for longer than this.
+LOSS_RESET_TERMS = 8.0
 MAX_CONSECUTIVE_LOSSES = 10
-MIN_LEASE_DIFFERENCE = 2  # leases that another has more: from then on one is requested
+# An instance requests a lease of another that holds at least this many more.
+MIN_LEASE_DIFFERENCE = 2
 
 
 class LossBackoff:
-    """How long one instance leaves one lease alone after it lost its term.
+    """Exponential backoff before an instance claims a lease again whose term it lost.
 
     Attributes:
-        losses: one after the other.
-        claim_not_before: seconds of the instance's clock.
+        consecutive_losses: Number of losses without a long hold in between, up to a limit.
+        claim_not_before: Earliest time of the next claim, in seconds of the instance's clock.
     """
 
     def __init__(self, term_seconds: float) -> None:
@@ -41,7 +55,7 @@
         self.claim_not_before = -1e18
 
     def record_lease_end(self, now: float, held_seconds: float, lost: bool) -> None:
-        """Take note that the lease was held for so long, and whether its term was lost."""
+        """Record how long the lease was held and whether its term was lost."""
         if held_seconds > LOSS_RESET_TERMS * self.term_seconds:
             self.consecutive_losses = 0
         if lost:
@@ -60,7 +74,16 @@
     leases_held: int,
     draw: float,
 ) -> float:
-    """Return when to claim a lease that may be claimed from `claimable_from` on; `draw` is from 0 to 1."""
+    """Return the time at which to claim a lease.
+
+    Args:
+        claimable_from: Earliest time at which the lease may be claimed, in seconds.
+        released: Whether the last holder released the lease.
+        handed_to: Number of the instance that the lease was handed over to, if any.
+        instance_number: Number of the claiming instance.
+        leases_held: Number of leases that the claiming instance holds.
+        draw: Random number from 0 to 1.
+    """
     if handed_to == instance_number:
         return claimable_from
     jitter_seconds = RELEASED_CLAIM_JITTER_SECONDS if released else CLAIM_JITTER_SECONDS
@@ -75,7 +98,10 @@
 def lease_to_request(
     instance_number: int, holders: Mapping[str, int | None], requested: Iterable[str], draw: float
 ) -> str | None:
-    """Return the lease to request, if any: of those whose holder has most, none that is requested already."""
+    """Return the name of the lease to request, or None.
+
+    The lease is one of an instance that holds the most leases and is not requested yet.
+    """
     lease_counts = _leases_by_holder(holders)
     if not lease_counts:
         return None
@@ -94,7 +120,7 @@
 def should_hand_over(
     instance_number: int, holders: Mapping[str, int | None], requested_by: int | None
 ) -> bool:
-    """Return whether a holder gives one of its leases to who requests it."""
+    """Return whether a holder hands one of its leases over to the instance that requests it."""
     lease_counts = _leases_by_holder(holders)
     return (
         requested_by is not None
--- a/gullmount/leases/clock.py
+++ b/gullmount/leases/clock.py
@@ -1,4 +1,4 @@
-"""The clock that leases go by."""
+"""The clock that leases use."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 def boot_time_seconds() -> float:
-    """Return seconds by a clock that goes on while the machine sleeps, where there is one."""
+    """Return seconds of a clock that keeps running while the machine sleeps, if the system has one.
+
+    On other systems the seconds are those of the monotonic clock.
+    """
     if hasattr(time, "CLOCK_BOOTTIME"):
         return time.clock_gettime(time.CLOCK_BOOTTIME)
     return time.monotonic()
--- a/gullmount/leases/config.py
+++ b/gullmount/leases/config.py
@@ -1,4 +1,7 @@
-"""A proxy instance's file with the section `ownership`; fields are named as its keys. Times in seconds."""
+"""A proxy instance's configuration file with the section `ownership`.
+
+Fields have the names of the keys in the file. Times are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -11,33 +14,34 @@
 from gullmount.proxy import ProxyConfig
 from gullmount.yamlfile import YamlModel
 
-MIN_MARGINS_PER_TERM = 4.0  # between renewal and end two may fail
+# Two renewals may fail between the time at which a renewal is due and the end of the term.
+MIN_MARGINS_PER_TERM = 4.0
 
 
 class LeaseConfigError(GullmountError, ValueError):
-    """Base of what is wrong with the section; the file's author is at fault."""
+    """Base of the errors in the section `ownership`, which the author of the file has to fix."""
 
 
 class ShortTermError(LeaseConfigError):
-    """The term has too few margins."""
+    """The term is too short for its margin."""
 
     def __init__(self, term: float, margin: float) -> None:
         super().__init__(f"term is {term}, less than {MIN_MARGINS_PER_TERM:.0f} margins of {margin}")
 
 
 class LongResponseTimeoutError(LeaseConfigError):
-    """An answer may take so long that a term is lost by one that is late."""
+    """The response timeout is so long that a single late response can lose the term."""
 
     def __init__(self, answer_within: float) -> None:
-        super().__init__(f"answer_within is {answer_within}: half a term or more")
+        super().__init__(f"answer_within is {answer_within} s, but must be less than half a term")
 
 
 class AnnouncementConfig(YamlModel):
-    """Where the leader announces itself.
+    """Where and how often the leader announces itself.
 
     Attributes:
         address: `host:port` of the receiver.
-        every: seconds between announcements.
+        every: Seconds between announcements.
     """
 
     address: Address
@@ -45,16 +49,16 @@
 
 
 class LeaseConfig(YamlModel):
-    """The section `ownership`.
+    """The section `ownership` of a proxy instance's file.
 
     Attributes:
-        switched_on: without it nothing of the section is done.
-        keepers: addresses of the replicas by number.
-        jobs: the leased work that the instance goes for; `judge` is the leader's.
-        term: seconds for which a lease lasts without a renewal.
-        margin: seconds by which a holder stops earlier.
-        answer_within: seconds for one call of a replica.
-        announce: where the leader announces itself.
+        switched_on: Whether leases are on. If false, the rest of the section has no effect.
+        keepers: Addresses of the replicas by number.
+        jobs: Names of the leases that the instance claims; `judge` is the leader's.
+        term: Seconds for which a lease lasts without a renewal.
+        margin: Seconds before the end of the term at which the holder stops.
+        answer_within: Timeout of one call to a replica, in seconds.
+        announce: Where the leader announces itself, if anywhere.
     """
 
     switched_on: bool = False
@@ -76,11 +80,11 @@
 
 
 class LeasingProxyConfig(ProxyConfig):
-    """One proxy instance's file, with what it holds for the fleet."""
+    """Configuration of one proxy instance, with the section for leases."""
 
     ownership: LeaseConfig | None = None
 
     @property
     def leases_enabled(self) -> bool:
-        """Whether the section is there and switched on."""
+        """Whether the section `ownership` is present and switched on."""
         return self.ownership is not None and self.ownership.switched_on
--- a/gullmount/leases/errors.py
+++ b/gullmount/leases/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the package."""
+"""Errors of the leases package."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class LeaseError(GullmountError):
-    """Base of the errors of leases."""
+    """Base of the errors that leases raise."""
 
 
 class LeaseLostError(LeaseError):
-    """The lease is not, or no longer, this instance's: nothing more may be done in its name.
+    """This instance does not hold the lease, or no longer holds it, and must stop the leased work.
 
     Attributes:
-        work: the name of the leased work.
+        work: Name of the leased work.
     """
 
     def __init__(self, work: str) -> None:
-        super().__init__(f"the lease of {work} is not held here")
+        super().__init__(f"the lease {work} is not held by this instance")
         self.work = work
--- a/gullmount/leases/held_lease.py
+++ b/gullmount/leases/held_lease.py
@@ -1,4 +1,4 @@
-"""A lease while it is held, and what its instance knows of it before and after."""
+"""A lease while this instance holds it, and the instance's view of it at all times."""
 
 from __future__ import annotations
 
@@ -17,14 +17,17 @@
 
 
 class LeaseView:
-    """One lease as this instance sees it; lives as long as the instance.
+    """One lease as this instance sees it, whether or not it holds the lease.
+
+    A view exists as long as the instance.
 
     Attributes:
-        name: of the leased work, and of the register.
-        changed: set and replaced whenever the register is another.
-        change_lock: held while this instance changes the register.
-        listeners: called with each new state.
-        loss_backoff: when this instance may claim it again after a loss.
+        name: Name of the leased work and of its register.
+        lease: State of the lease and the rules for changing it.
+        changed: Event that is set, and replaced by a new one, whenever the register changes.
+        change_lock: Lock that is held while this instance changes the register.
+        listeners: Callbacks that are called with each new state.
+        loss_backoff: Decides when this instance may claim the lease again after a loss.
     """
 
     def __init__(self, name: str, lease: Lease) -> None:
@@ -36,7 +39,10 @@
         self.loss_backoff = LossBackoff(lease.term_seconds)
 
     def observe(self, now: float, chosen: RegisterValue) -> None:
-        """Take the register as it was read or told."""
+        """Update the lease from a register value that was read or received from a watch.
+
+        Calls the listeners and sets `changed` if the value is newer than the last one.
+        """
         if not self.lease.observe(now, chosen):
             return
         for listener in self.listeners:
@@ -46,15 +52,16 @@
 
 
 class HeldLease:
-    """A lease that is held.
+    """A lease that this instance holds.
 
     Attributes:
-        name: of the leased work.
-        token: goes with every effect.
-        scope: cancelled when the lease is over.
-        over: whether it is.
-        handed_to: whom the lease is handed over to.
-        held_since: seconds of the instance's clock.
+        name: Name of the leased work.
+        view: The instance's view of the lease.
+        token: Fencing token that is sent with every effect.
+        scope: Cancel scope of the leased work, cancelled when the lease ends.
+        ended: Whether the lease has ended.
+        handed_to: Number of the instance that the lease is handed over to, if any.
+        held_since: Time at which the lease was acquired, in seconds of the instance's clock.
     """
 
     def __init__(
@@ -77,19 +84,22 @@
 
     @property
     def pending_work(self) -> Any:
-        """What the register says is to be done; an earlier holder may have left it half finished."""
+        """The pending work in the register, which an earlier holder may have left half finished."""
         return self.view.lease.state.pending_work
 
     def check(self) -> None:
-        """Raise LeaseLostError where this instance may not act any more."""
+        """Raise LeaseLostError if this instance may no longer act as the holder."""
         lease = self.view.lease
         if self.ended or lease.state.token != self.token or not lease.is_valid(self._clock()):
             raise LeaseLostError(self.name)
 
     async def write(self, pending_work: Any) -> None:
-        """Put what is to be done into the register, before it is begun; counts as a renewal.
+        """Store the pending work in the register before it is started, and renew the lease.
+
+        Retries until the register holds the work.
 
-        Raises LeaseLostError.
+        Raises:
+            LeaseLostError: The lease ended first.
         """
         while True:
             self.check()
--- a/gullmount/leases/lease.py
+++ b/gullmount/leases/lease.py
@@ -1,11 +1,15 @@
-"""One instance's view of one lease. No I/O, clock or randomness.
-
-Times are handed in, in seconds of the instance's own clock. The holder changes the register at every renewal;
-whoever would hold the lease waits until it has seen no change for the term. Nobody compares clocks: the
-holder counts its term from before it requested the renewal, the others from after they saw it, and a renewal
-is seen only once it was requested. What is left is how fast clocks run: others wait longer by what two clocks
-may differ, the holder stops earlier by its margin. Receivers of effects go by the token, since a holder may
-be stopped between its last look at the clock and its send.
+"""One instance's view of one lease: who holds it, until when, and which value to write next.
+
+The module has no I/O, clock or randomness. Callers pass in times, in seconds of the instance's own clock.
+
+- The holder changes the register at every renewal. An instance that wants the lease waits until it has seen
+  no change for a whole term.
+- Clocks of different instances are never compared. The holder counts its term from before it requested the
+  renewal, the others count it from after they saw the renewal, and a renewal is seen only after its request.
+- Clocks may run at different speeds. Other instances therefore wait longer by the most that two clocks may
+  differ, and the holder stops earlier by its margin.
+- A holder may be paused between its last look at the clock and its send. Receivers of effects therefore
+  check the token.
 """
 
 from __future__ import annotations
@@ -15,26 +19,31 @@
 from gullmount.consensus.registers import RegisterValue
 from gullmount.leases.messages import FREE, LeaseState, LeaseValue, lease_state_from
 
-MAX_CLOCK_DRIFT = 0.01  # share by which any clock may run fast or slow: a hundred times what quartz does
-EXPIRY_FACTOR = (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)  # of a term, for those who wait it out
-RENEW_AFTER_FRACTION = 1 / 3  # of the term: two renewals may fail
-MAX_PENDING_RENEWALS = 8  # under way or of unknown outcome, whose beginning is remembered
-NEVER = 1e18  # seconds
+# Fraction by which a clock may run fast or slow: a hundred times the drift of a quartz clock.
+MAX_CLOCK_DRIFT = 0.01
+# Instances that do not hold the lease wait for a term times this factor.
+EXPIRY_FACTOR = (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
+# A renewal is due after this fraction of the term, so that two renewals may fail.
+RENEW_AFTER_FRACTION = 1 / 3
+# Limits the renewals, in flight or with an unknown outcome, whose request times are kept.
+MAX_PENDING_RENEWALS = 8
+# A time, in seconds, that no clock reaches.
+NEVER = 1e18
 
 
 class Lease:
     """One lease as one instance sees it.
 
     Attributes:
-        instance_number: the instance's number.
-        incarnation: names this process of the instance.
-        term_seconds: for how long a claim or renewal lasts.
-        margin_seconds: how much earlier this instance stops than its term ends.
-        version: of the register as last seen; -1 before it was seen.
-        state: what the register said.
-        seen_at: when the state was first seen.
-        requested_at: by renewal, when it was requested.
-        valid_until: up to when this instance may act as the holder.
+        instance_number: Number of this instance.
+        incarnation: Identifies this process of the instance.
+        term_seconds: How long a claim or renewal lasts.
+        margin_seconds: How long before the end of its term this instance stops.
+        version: Version of the register as last seen; -1 before it was first seen.
+        state: Lease state in that version of the register.
+        seen_at: Time at which the state was first seen.
+        requested_at: Time at which each renewal was requested, by the renewal's number; 0 is the claim.
+        valid_until: Time until which this instance may act as the holder.
     """
 
     def __init__(
@@ -50,10 +59,14 @@
         self.requested_at: dict[int, float] = {}
         self.valid_until = -NEVER
 
-    # What is seen
+    # Observing the register.
 
     def observe(self, now: float, chosen: RegisterValue) -> bool:
-        """Take the register as it was read or told; return whether that was news."""
+        """Update the lease from a register value that was read or received from a watch.
+
+        Returns:
+            Whether the value is newer than the last one.
+        """
         if chosen.version <= self.version:
             return False
         self.version, self.state, self.seen_at = chosen.version, lease_state_from(chosen.value), now
@@ -64,7 +77,7 @@
 
     @property
     def is_mine(self) -> bool:
-        """Whether the register names this incarnation of this instance, as far as it has seen."""
+        """Whether the register, as last seen, names this incarnation of this instance as the holder."""
         return self.state.holder == self.instance_number and self.state.incarnation == self.incarnation
 
     def is_valid(self, now: float) -> bool:
@@ -73,7 +86,10 @@
 
     @property
     def claimable_from(self) -> float:
-        """When it may be claimed by whoever sees no change until then; never before it was seen at all."""
+        """Time from which this instance may claim the lease if it sees no change until then.
+
+        NEVER as long as the register was not seen.
+        """
         if self.version < 0:
             return NEVER
         if self.state.holder is None:
@@ -82,18 +98,18 @@
 
     @property
     def renewal_due(self) -> float:
-        """When the holder is to renew it."""
+        """Time at which the holder has to renew the lease."""
         return self.valid_until + self.margin_seconds - self.term_seconds * (1 - RENEW_AFTER_FRACTION)
 
-    # What is written, over the version seen
+    # Values to write over the version last seen.
 
     def claim(self, now: float) -> LeaseValue:
-        """Return the value that makes this instance the holder, with what an earlier one had under way."""
+        """Return the value that makes this instance the holder and keeps the pending work."""
         self.requested_at = {0: now}
         return self._value(self.state.token + 1, 0, self.state.pending_work)
 
     def renew(self, now: float, pending_work: Any) -> LeaseValue:
-        """Return the value that begins another term."""
+        """Return the value that starts another term with the given pending work."""
         renewal = max([self.state.renewal, *self.requested_at]) + 1
         self.requested_at[renewal] = now
         for old_renewal in sorted(self.requested_at)[:-MAX_PENDING_RENEWALS]:
@@ -101,14 +117,17 @@
         return self._value(self.state.token, renewal, pending_work)
 
     def release(self, handed_to: int | None = None) -> LeaseValue:
-        """Return the value that gives the lease up; `handed_to` says for whom."""
+        """Return the value that releases the lease, for the instance `handed_to` if that is given."""
         state = self.state
         return LeaseValue(
             None, "", state.token, 0, self.term_seconds, state.pending_work, handed_to=handed_to
         )
 
     def request(self) -> LeaseValue:
-        """Return the holder's own value, marked with this instance's request for the lease: no renewal."""
+        """Return the holder's value with this instance's request for the lease added.
+
+        The value does not renew the lease.
+        """
         state = self.state
         return LeaseValue(
             state.holder,
--- a/gullmount/leases/lease_manager.py
+++ b/gullmount/leases/lease_manager.py
@@ -1,12 +1,12 @@
-"""Holding leases, as a program does it.
+"""Claims, renews and releases the leases of one instance.
 
-    async with leases.hold("judge") as held:  # waits until this instance holds the lease
+    async with leases.hold("judge") as held:  # Waits until this instance holds the lease.
         while True:
-            held.check()                      # raises LeaseLostError once the term is over
-            await act(held.token)             # a receiver rejects a lower token than it has seen
+            held.check()                      # Raises LeaseLostError once the term has ended.
+            await act(held.token)             # A receiver rejects a lower token than it has seen.
 
-The body is cancelled when the term ends without renewal, or when the lease is handed over to an instance that
-has fewer (`assignment.py`), and `hold` then raises LeaseLostError.
+The body is cancelled when the term ends without a renewal, or when the lease is handed over to an instance
+that holds fewer (see `assignment.py`). `hold` then raises LeaseLostError.
 """
 
 from __future__ import annotations
@@ -29,20 +29,22 @@
 from gullmount.leases.log_events import LogEvent
 from gullmount.leases.messages import LeaseValue
 
-MIN_REBALANCE_INTERVAL_TERMS = (
-    3.0  # between looks at whether another has more leases, up to twice that by chance
-)
-MIN_RETRY_SECONDS = 0.1  # before a change with no good answer is tried again, up to twice that by chance
-RELEASE_TIMEOUT_SECONDS = 1.0  # after that the others wait out the term
+# Shortest time between checks whether another instance holds more leases. Jitter extends it to up to twice
+# that.
+MIN_REBALANCE_INTERVAL_TERMS = 3.0
+# Shortest time before an unsuccessful change is retried; jitter extends it to up to twice that.
+MIN_RETRY_SECONDS = 0.1
+# If a release takes longer, the other instances have to wait until the term ends.
+RELEASE_TIMEOUT_SECONDS = 1.0
 MAX_WAIT_SECONDS = 3600.0
 
 
 class LeaseManager:
-    """The leases of one instance; `run` it in a task.
+    """Manages the leases of one instance; `run` has to run in a task.
 
     Attributes:
-        waiting_for: names of the leases that `hold` waits for just now.
-        views: by the name of the leased work.
+        waiting_for: Names of the leases that `hold` is waiting for.
+        views: Views of the leases by the name of the leased work.
     """
 
     def __init__(
@@ -61,15 +63,15 @@
         """Build the manager.
 
         Args:
-            registers: where the leases stand.
-            instance_number: the instance's number.
-            incarnation: names this process of the instance.
-            names: of the leased work.
-            term_seconds: for how long a lease lasts without a renewal.
-            margin_seconds: by how much the holder stops earlier.
-            random: draws waits.
-            clock: gives seconds.
-            log: takes an event and its fields.
+            registers: Registers that store the leases.
+            instance_number: Number of this instance.
+            incarnation: Identifies this process of the instance.
+            names: Names of the leased work.
+            term_seconds: How long a lease lasts without a renewal.
+            margin_seconds: How long before the end of its term the holder stops.
+            random: Source of the jitter.
+            clock: Returns the time in seconds.
+            log: Called with an event and its fields.
         """
         self.registers = registers
         self.random = random
@@ -84,7 +86,7 @@
         }
 
     async def run(self) -> None:
-        """Watch all leases, until cancelled."""
+        """Watch all leases and rebalance them, until cancelled."""
         async with anyio.create_task_group() as tasks:
             for view in self.views.values():
                 tasks.start_soon(self._watch, view)
@@ -93,14 +95,17 @@
 
     @property
     def holders(self) -> dict[str, int | None]:
-        """Who holds each lease, as far as it was seen."""
+        """Number of the instance that holds each lease, as last seen; None if it is free."""
         return {name: view.lease.state.holder for name, view in self.views.items()}
 
     @asynccontextmanager
     async def hold(self, name: str) -> AsyncIterator[HeldLease]:
-        """Wait until this instance holds the lease, and hold it as long as the body runs.
+        """Wait until this instance holds the lease, then renew it as long as the body runs.
 
-        Raises LeaseLostError.
+        Releases the lease when the body ends or the lease is handed over.
+
+        Raises:
+            LeaseLostError: The term ended, or the lease was handed over, before the body ended.
         """
         view = self.views[name]
         self.waiting_for.add(name)
@@ -134,7 +139,10 @@
             view.observe(self.clock(), chosen)
 
     async def _rebalance(self) -> None:
-        """Request a lease of who has more, until cancelled; only leases that this instance goes for count."""
+        """Request leases of instances that hold more, until cancelled.
+
+        Counts only the leases that this instance claims.
+        """
         while True:
             interval = self.term_seconds * MIN_REBALANCE_INTERVAL_TERMS
             await anyio.sleep(interval * (1 + self.random.random()))
@@ -150,7 +158,11 @@
         await anyio.sleep(MIN_RETRY_SECONDS * (1 + self.random.random()))
 
     async def _change_register(self, view: LeaseView, make_value: Callable[[], LeaseValue]) -> bool:
-        """Write what `make` returns over the version seen; return whether the register holds it."""
+        """Write the value of `make_value` over the version last seen.
+
+        Returns:
+            Whether the register is known to hold the value.
+        """
         async with view.change_lock:
             expected_version = view.lease.version
             value = make_value().as_json()
@@ -170,7 +182,7 @@
     async def _renew(self, view: LeaseView, pending_work: Any) -> bool:
         return await self._change_register(view, lambda: view.lease.renew(self.clock(), pending_work))
 
-    # Acquiring
+    # Acquiring a lease.
 
     async def _acquire(self, view: LeaseView) -> None:
         lease = view.lease
@@ -178,7 +190,8 @@
             changed = view.changed
             due_at = self._claim_due_at(view)
             if lease.is_mine:
-                due_at = self.clock()  # a claim of ours whose outcome was not heard
+                # An earlier claim succeeded, but its outcome was not received.
+                due_at = self.clock()
                 if lease.is_valid(due_at):
                     return
             wait_seconds = due_at - self.clock()
@@ -186,7 +199,8 @@
                 await changed.wait()
                 continue
             if self.clock() < due_at:
-                continue  # the clock of the loop runs ahead of ours
+                # The event loop's clock runs faster than the lease clock.
+                continue
             claimed = await self._change_register(view, lambda: lease.claim(self.clock()))
             if claimed and lease.is_valid(self.clock()):
                 return
@@ -206,10 +220,10 @@
         )
         return max(due_at, view.loss_backoff.claim_not_before)
 
-    # Holding
+    # Holding a lease.
 
     async def _renew_until_ended(self, held: HeldLease) -> None:
-        """Renew until the term is over or another has the lease; then end the body."""
+        """Renew the lease until it ends or has to be handed over, then cancel the body."""
         while True:
             now = self.clock()
             if not self._should_keep(held, now):
@@ -239,7 +253,7 @@
                 await self._wait_before_retry()
 
     async def _release(self, held: HeldLease) -> None:
-        """Give the lease up, so that the next holder need not wait out the term."""
+        """Release the lease, so that the next holder does not have to wait until the term ends."""
         lease = held.view.lease
         with anyio.move_on_after(RELEASE_TIMEOUT_SECONDS, shield=True):
             while lease.is_mine and lease.state.token == held.token:
--- a/gullmount/leases/leasing_proxy.py
+++ b/gullmount/leases/leasing_proxy.py
@@ -1,4 +1,7 @@
-"""A proxy instance that takes its turn at the fleet's leased work: one leader for all judges the releases."""
+"""A proxy instance that claims leases for work of the whole fleet.
+
+The holder of the leader's lease runs the canary analysis of releases for all instances.
+"""
 
 from __future__ import annotations
 
@@ -24,18 +27,20 @@
 from gullmount.proxy import ProxyInstance, StateStore
 from gullmount.rpc import CallError, call
 
-LEADER_LEASE = "judge"  # the leased work of the leader, as files and registers name it
-ANNOUNCEMENT_TIMEOUT_SECONDS = 2.0  # a late one is rejected by its token
+# Name of the leader's lease in configuration files and registers.
+LEADER_LEASE = "judge"
+# An announcement that arrives late is rejected by its token.
+ANNOUNCEMENT_TIMEOUT_SECONDS = 2.0
 INCARNATION_BITS = 62
 
 
 class LeasingProxy:
-    """A `ProxyInstance` that claims the leases of its file and does the work of those that it holds.
+    """A `ProxyInstance` that claims the leases in its file and does the work of those that it holds.
 
     Attributes:
-        proxy_instance: the proxy instance itself.
-        leases: what is held.
-        released: set once the leadership is given up for good.
+        proxy_instance: The wrapped proxy instance.
+        leases: Manager of the instance's leases.
+        released: Event that is set once the leader's lease is released and will not be claimed again.
     """
 
     def __init__(
@@ -49,16 +54,16 @@
         clock: Callable[[], float] = boot_time_seconds,
         log: Log = no_log,
     ) -> None:
-        """Build the instance; `config` has the section `ownership`.
+        """Build the instance.
 
         Args:
-            config: the instance's file.
-            net: where it listens and connects.
-            seed: of its random draws.
-            state_store: what it keeps over a restart.
-            wall: the wall clock, in seconds.
-            clock: what leases go by, in seconds.
-            log: takes an event and its fields.
+            config: Configuration with the section `ownership`.
+            net: Network on which the instance listens and connects.
+            seed: Seed of its random draws.
+            state_store: Store of the state that outlives a restart.
+            wall: Wall clock, in seconds.
+            clock: Clock of the leases, in seconds.
+            log: Called with an event and its fields.
         """
         lease_config = config.ownership
         assert lease_config is not None
@@ -120,13 +125,13 @@
         return None
 
     async def stop(self) -> None:
-        """Give up what is held, accept nothing more, and wait until all accepted requests are answered."""
+        """Release the leases, accept no more requests, and wait until all accepted ones are answered."""
         self.stopping.set()
         if LEADER_LEASE in self.leases.views:
             await self.released.wait()
         await self.proxy_instance.stop()
 
-    # The leader
+    # The leader.
 
     def _update_leader(self, state: LeaseState) -> None:
         pending = state.pending_work
@@ -134,7 +139,7 @@
         self.proxy_instance.set_leader(state.holder, state.token, build if state.renewal == 0 else 0)
 
     async def _lead_until_stopped(self) -> None:
-        """Lead whenever the lease is held, until the instance stops."""
+        """Do the leader's work whenever the lease is held, until the instance stops."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._cancel_when_stopping, tasks.cancel_scope)
             while True:
@@ -150,7 +155,10 @@
         scope.cancel()
 
     async def _lead_while_held(self, held: HeldLease) -> None:
-        """Reduce the traffic of builds; which one stands in the register before that is begun."""
+        """Reduce the traffic of builds on request.
+
+        Each build is stored in the register before its traffic reduction starts.
+        """
         requested_builds: list[int] = []
         build_requested = anyio.Event()
 
@@ -173,7 +181,7 @@
                     self.proxy_instance.allow_traffic_reduction(build)
 
     async def _announce(self, held: HeldLease, receiver: AnnouncementConfig) -> None:
-        """Tell the receiver whom the operators named who leads."""
+        """Announce the leader to the receiver in the configuration file, until cancelled."""
         sequence_number = 0
         while True:
             held.check()
--- a/gullmount/leases/log_events.py
+++ b/gullmount/leases/log_events.py
@@ -1,4 +1,4 @@
-"""The log events of leases."""
+"""Log events of the leases package."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LogEvent(StrEnum):
-    """One event each; the name in the log stays stable."""
+    """Log events; the values are the names in the log and stay stable."""
 
     LEASE_ACQUIRED = "lease_acquired"
     LEASE_ENDED = "lease_ended"
--- a/gullmount/leases/messages.py
+++ b/gullmount/leases/messages.py
@@ -1,7 +1,7 @@
-"""What the register of a lease holds, and the leader's announcement. No I/O, clock or randomness.
+"""The value in a lease's register, and the leader's announcement.
 
-Only here is a name on the wire turned into the term that the code uses; docs/protocols.md describes them.
-Fields stand in the order in which they are written.
+This is the only module that maps the names on the wire to the terms of the code. docs/protocols.md describes
+them. Fields are in the order in which they are written. The module has no I/O, clock or randomness.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class LeaseValue(Struct, frozen=True):
-    """What is written into the register of a lease; `LeaseState` describes the fields."""
+    """Value that is written to the register of a lease; `LeaseState` describes the fields."""
 
     holder: int | None = field(name="owner")
     incarnation: str = field(name="life")
@@ -28,24 +28,25 @@
     handed_to: int | UnsetType | None = field(name="to", default=UNSET)
 
     def as_json(self) -> dict[str, Any]:
-        """Return the value as a register holds it."""
+        """Return the value in the form that a register stores."""
         value: dict[str, Any] = msgspec.to_builtins(self)
         return value
 
 
 @dataclass(frozen=True)
 class LeaseState:
-    """What the register of a lease says.
+    """State of a lease, as read from its register.
 
     Attributes:
-        holder: number of the instance that holds the lease; None where it is free.
-        incarnation: of the holder's process; its next one is another holder.
-        token: grows by one with each claim; receivers of effects reject a lower one than they have seen.
-        renewal: grows by one with each renewal, 0 at a claim.
-        term_seconds: for how long the holder may go without a renewal.
-        pending_work: what the holder was about to do; an earlier holder may have left it half finished.
-        requested_by: the instance that asks the holder for the lease.
-        handed_to: the instance that the lease was handed over to, while it is free.
+        holder: Number of the instance that holds the lease; None if it is free.
+        incarnation: Identifies the holder's process; the instance's next process is another holder.
+        token: Fencing token, which grows by one with each claim. Receivers of effects reject a lower token
+            than they have seen.
+        renewal: Grows by one with each renewal; 0 at a claim.
+        term_seconds: How long the holder may go without a renewal.
+        pending_work: Work that the holder was about to do; an earlier holder may have left it half finished.
+        requested_by: Number of the instance that requests the lease from the holder.
+        handed_to: Number of the instance that the lease was handed over to, while the lease is free.
     """
 
     holder: int | None
@@ -62,7 +63,7 @@
 
 
 def lease_state_from(value: Any) -> LeaseState:
-    """Return what a register's value says; one that is no lease counts as free."""
+    """Return the lease state in a register's value; a value that is not a lease counts as free."""
     match value:
         case {
             "owner": int() | None as holder,
@@ -89,10 +90,14 @@
 
 
 class LeaderAnnouncement(Struct, frozen=True, kw_only=True):
-    """Says who holds a lease; the receiver rejects a lower token than it has seen.
+    """Announces the holder of a lease; the receiver rejects a lower token than it has seen.
 
     Attributes:
-        number: counts the announcements of one holder.
+        v: Version of the message format.
+        work: Name of the leased work.
+        holder: Number of the instance that holds the lease.
+        token: Fencing token of the lease.
+        number: Sequence number among the announcements of one holder.
     """
 
     v: int = MESSAGE_VERSION
