--- a/tests/leases/test_assignment.py
+++ b/tests/leases/test_assignment.py
@@ -1,4 +1,4 @@
-"""Many leases among those who offer: evenly, and none back and forth."""
+"""Assignment of many leases to instances: they spread evenly, and none moves back and forth."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class RegisterConnections:
-    """Several registers as one instance sees them."""
+    """The connections of one instance to several registers."""
 
     def __init__(self, registers_by_name: dict[str, InMemoryRegister], number: int) -> None:
         self.connections = {
@@ -49,7 +49,10 @@
 
 
 class Claimants:
-    """Instances that go for all leases; `moves` counts who began to hold which."""
+    """Instances that all claim every lease.
+
+    `acquisitions` records the time, the instance and the lease whenever an instance begins to hold one.
+    """
 
     def __init__(self, tasks: anyio.abc.TaskGroup, names: list[str]) -> None:
         self.tasks = tasks
@@ -139,7 +142,8 @@
         register = claimants.registers["job"]
         for _ in range(60):
             await anyio.sleep(2)
-            register.disconnected.add(0)  # for longer than its term
+            # The instance stays disconnected for longer than its term.
+            register.disconnected.add(0)
             await anyio.sleep(3)
             register.disconnected.discard(0)
         claim_count = [number for _, number, _ in claimants.acquisitions].count(0)
@@ -151,7 +155,7 @@
 
 
 def test_one_of_a_hundred_claimants_holds_the_lease_and_another_takes_over_when_it_stops() -> None:
-    """No herd: the replicas see few claims though a hundred instances wait for the lease."""
+    """Guards against a thundering herd of claims at the replicas while a hundred instances wait."""
     holds: list[tuple[float, int, int]] = []
 
     async def scene(group: ReplicaScene) -> None:
--- a/tests/leases/test_config.py
+++ b/tests/leases/test_config.py
@@ -1,4 +1,4 @@
-"""The section `ownership`, and what is loaded without it."""
+"""The section `ownership` of a proxy's file, and which modules are imported without it."""
 
 from __future__ import annotations
 
--- a/tests/leases/test_lease.py
+++ b/tests/leases/test_lease.py
@@ -1,11 +1,11 @@
-"""One instance's view of a lease, step by step."""
+"""One instance's view of a lease: its term, its token and its holder's incarnation."""
 
 from __future__ import annotations
 
 from gullmount.consensus.registers import RegisterValue
 from gullmount.leases.lease import Lease
 
-TERM_SECONDS, MARGIN_SECONDS = 2.0, 0.3  # seconds
+TERM_SECONDS, MARGIN_SECONDS = 2.0, 0.3
 
 
 def test_holder_counts_its_term_from_the_request_and_others_from_the_observation() -> None:
@@ -13,7 +13,8 @@
     for each_lease in (lease, other):
         each_lease.observe(0.0, RegisterValue(0, None))
     claimed = RegisterValue(1, lease.claim(1.0).as_json())
-    lease.observe(2.5, claimed)  # the answer came late
+    # The response to the claim arrives late.
+    lease.observe(2.5, claimed)
     assert lease.is_valid(2.6) and not lease.is_valid(1.0 + TERM_SECONDS - MARGIN_SECONDS)
     other.observe(1.1, claimed)
     assert other.claimable_from > 1.1 + TERM_SECONDS and not other.is_valid(1.2)
--- a/tests/leases/test_lease_manager.py
+++ b/tests/leases/test_lease_manager.py
@@ -1,4 +1,4 @@
-"""Holders in virtual time: one at a time, and the next one soon."""
+"""Holders of a lease in virtual time: there is one at a time, and the next one takes over soon."""
 
 from __future__ import annotations
 
@@ -16,11 +16,14 @@
 from gullmount.scenarios.virtual_time import run_in_virtual_time
 from tests.support.registers import InMemoryRegister
 
-TERM_SECONDS, MARGIN_SECONDS = 2.0, 0.3  # seconds
+TERM_SECONDS, MARGIN_SECONDS = 2.0, 0.3
 
 
 class Fleet:
-    """Instances that all want one lease, and who held it when: effects with their tokens."""
+    """Instances that all claim one lease.
+
+    `effects` records the time, the instance and the token of each effect that a holder sends.
+    """
 
     def __init__(self, tasks: anyio.abc.TaskGroup, count: int, clock_speeds: dict[int, float]) -> None:
         self.register = InMemoryRegister()
--- a/tests/leases/test_messages.py
+++ b/tests/leases/test_messages.py
@@ -1,4 +1,4 @@
-"""What the register of a lease holds."""
+"""Reading of the value in a lease's register."""
 
 from __future__ import annotations
 
--- a/tests/support/registers.py
+++ b/tests/support/registers.py
@@ -1,4 +1,4 @@
-"""A register without replicas, and what each of its users sees of it."""
+"""A register in memory, without replicas, and the connections of proxy instances to it."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 
 
 class InMemoryRegister:
-    """Registers without replicas; an answer may be lost, late, or not given at all."""
+    """A register without replicas whose responses may be lost, delayed or withheld."""
 
     def __init__(self) -> None:
         self.current = RegisterValue(0, None)
         self.changed = anyio.Event()
-        self.responses_to_lose = 0  # answers to changes that are made, but not told
-        self.disconnected: set[int] = set()  # of whom nothing comes through
+        # Number of next changes that are applied but whose responses are lost.
+        self.responses_to_lose = 0
+        # Numbers of the instances whose calls are blocked.
+        self.disconnected: set[int] = set()
         self.delay_seconds = 0.0
 
     def connect(self, number: int) -> RegisterConnection:
@@ -31,7 +33,7 @@
 
 
 class RegisterConnection:
-    """The register as one proxy instance sees it."""
+    """The connection of one proxy instance to the register; it accepts any register name."""
 
     def __init__(self, shared_register: InMemoryRegister, number: int) -> None:
         self.shared_register = shared_register
