--- a/gullmount/leases/assignment.py
+++ b/gullmount/leases/assignment.py
@@ -26,7 +26,7 @@
 CLAIM_JITTER_SECONDS = 0.5
 # Claims are spread at random over this time after a holder has released the lease.
 RELEASED_CLAIM_JITTER_SECONDS = 0.2
-# Delays a claim for each lease that the instance already holds. It exceeds the jitter, so that an instance
+# Delays a claim for each lease that the instance already holds. It exceeds both jitters, so that an instance
 # with fewer leases claims first.
 DELAY_PER_LEASE_SECONDS = 0.6
 # Other instances delay their claims by this time, so that the recipient of a handover claims first.
@@ -42,7 +42,7 @@
 
 
 class LossBackoff:
-    """Exponential backoff before an instance claims a lease again whose term it lost.
+    """Exponential backoff between an instance's loss of a lease and its next claim of it.
 
     Attributes:
         consecutive_losses: Number of losses without a long hold in between, up to a limit.
--- a/gullmount/leases/lease.py
+++ b/gullmount/leases/lease.py
@@ -88,7 +88,7 @@
     def claimable_from(self) -> float:
         """Time from which this instance may claim the lease if it sees no change until then.
 
-        NEVER as long as the register was not seen.
+        It is NEVER until the register has been seen once.
         """
         if self.version < 0:
             return NEVER
--- a/gullmount/leases/leasing_proxy.py
+++ b/gullmount/leases/leasing_proxy.py
@@ -157,7 +157,8 @@
     async def _lead_while_held(self, held: HeldLease) -> None:
         """Reduce the traffic of builds on request.
 
-        Each build is stored in the register before its traffic reduction starts.
+        Each build is stored in the register before its traffic reduction starts. Build 0 stands for the end
+        of a reduction.
         """
         requested_builds: list[int] = []
         build_requested = anyio.Event()
@@ -181,7 +182,11 @@
                     self.proxy_instance.allow_traffic_reduction(build)
 
     async def _announce(self, held: HeldLease, receiver: AnnouncementConfig) -> None:
-        """Announce the leader to the receiver in the configuration file, until cancelled."""
+        """Announce the leader to the configured receiver at regular intervals.
+
+        Raises:
+            LeaseLostError: This instance no longer holds the lease.
+        """
         sequence_number = 0
         while True:
             held.check()
