--- a/gullmount/leases/leasing_proxy.py
+++ b/gullmount/leases/leasing_proxy.py
@@ -1,4 +1,7 @@
-"""A proxy instance that takes its turn at the fleet's leased work: one leader for all judges the releases."""
+"""A proxy instance that claims leases for work of the whole fleet.
+
+The holder of the leader's lease runs the canary analysis of releases for all instances.
+"""
 
 from __future__ import annotations
 
@@ -24,18 +27,20 @@
 from gullmount.proxy import ProxyInstance, StateStore
 from gullmount.rpc import CallError, call
 
-LEADERSHIP = "judge"  # the leased work of the leader, as files and registers name it
-ANNOUNCEMENT_TIMEOUT_SECONDS = 2.0  # a late one is rejected by its token
+# Name of the leader's lease in configuration files and registers.
+LEADER_LEASE = "judge"
+# An announcement that arrives late is rejected by its token.
+ANNOUNCEMENT_TIMEOUT_SECONDS = 2.0
 INCARNATION_BITS = 62
 
 
 class LeasingProxy:
-    """A `ProxyInstance` that claims the leases of its file and does the work of those that it holds.
+    """A `ProxyInstance` that claims the leases in its file and does the work of those that it holds.
 
     Attributes:
-        running: the proxy instance itself.
-        leases: what is held.
-        released: set once the leadership is given up for good.
+        proxy_instance: The wrapped proxy instance.
+        leases: Manager of the instance's leases.
+        released: Event that is set once the leader's lease is released and will not be claimed again.
     """
 
     def __init__(
@@ -49,16 +54,16 @@
         clock: Callable[[], float] = boot_time_seconds,
         log: Log = no_log,
     ) -> None:
-        """Build the instance; `config` has the section `ownership`.
+        """Build the instance.
 
         Args:
-            config: the instance's file.
-            net: where it listens and connects.
-            seed: of its random draws.
-            state_store: what it keeps over a restart.
-            wall: the wall clock, in seconds.
-            clock: what leases go by, in seconds.
-            log: takes an event and its fields.
+            config: Configuration with the section `ownership`.
+            net: Network on which the instance listens and connects.
+            seed: Seed of its random draws.
+            state_store: Store of the state that outlives a restart.
+            wall: Wall clock, in seconds.
+            clock: Clock of the leases, in seconds.
+            log: Called with an event and its fields.
         """
         lease_config = config.ownership
         assert lease_config is not None
@@ -66,18 +71,18 @@
         self.config = config
         self.net = net
         self.log = log
-        clocks = {} if wall is None else {"wall": wall}
-        analysis_leased = LEADERSHIP in lease_config.jobs
-        self.running = ProxyInstance(
+        clock_arguments = {} if wall is None else {"wall": wall}
+        analysis_leased = LEADER_LEASE in lease_config.jobs
+        self.proxy_instance = ProxyInstance(
             config,
             net=net,
             seed=seed,
             state_store=state_store,
             log=log,
             analysis_leased=analysis_leased,
-            **clocks,
+            **clock_arguments,
         )
-        self.random = Random(self.running.seed + 1)
+        self.random = Random(self.proxy_instance.seed + 1)
         replicas = [lease_config.keepers[number] for number in sorted(lease_config.keepers)]
         self.registers = RegisterClient(net, replicas, self.random, lease_config.answer_within, log)
         self.leases = LeaseManager(
@@ -96,50 +101,53 @@
         self.released = anyio.Event()
 
     async def __aenter__(self) -> Self:
-        await self.running.__aenter__()
+        await self.proxy_instance.__aenter__()
         self.tasks = anyio.create_task_group()
         await self.tasks.__aenter__()
-        if LEADERSHIP in self.leases.views:
-            self.leases.views[LEADERSHIP].listeners.append(self._note_leader)
-            self.tasks.start_soon(self._lead)
+        if LEADER_LEASE in self.leases.views:
+            self.leases.views[LEADER_LEASE].listeners.append(self._update_leader)
+            self.tasks.start_soon(self._lead_until_stopped)
         self.tasks.start_soon(self.leases.run)
         self.tasks.start_soon(self.registers.follow_group)
         return self
 
     async def __aexit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self,
+        exception_type: type[BaseException] | None,
+        exception: BaseException | None,
+        traceback: TracebackType | None,
     ) -> bool | None:
         self.tasks.cancel_scope.cancel()
         try:
-            await self.tasks.__aexit__(kind, error, trace)
+            await self.tasks.__aexit__(exception_type, exception, traceback)
         finally:
-            await self.running.__aexit__(kind, error, trace)
+            await self.proxy_instance.__aexit__(exception_type, exception, traceback)
         return None
 
     async def stop(self) -> None:
-        """Give up what is held, accept nothing more, and wait until all accepted requests are answered."""
+        """Release the leases, accept no more requests, and wait until all accepted ones are answered."""
         self.stopping.set()
-        if LEADERSHIP in self.leases.views:
+        if LEADER_LEASE in self.leases.views:
             await self.released.wait()
-        await self.running.stop()
+        await self.proxy_instance.stop()
 
-    # The leader
+    # The leader.
 
-    def _note_leader(self, state: LeaseState) -> None:
+    def _update_leader(self, state: LeaseState) -> None:
         pending = state.pending_work
         build = pending.get("lessened", 0) if isinstance(pending, dict) else 0
-        self.running.set_leader(state.holder, state.token, build if state.renewal == 0 else 0)
+        self.proxy_instance.set_leader(state.holder, state.token, build if state.renewal == 0 else 0)
 
-    async def _lead(self) -> None:
-        """Lead whenever the lease is held, until the instance stops."""
+    async def _lead_until_stopped(self) -> None:
+        """Do the leader's work whenever the lease is held, until the instance stops."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._cancel_when_stopping, tasks.cancel_scope)
             while True:
                 try:
-                    async with self.leases.hold(LEADERSHIP) as held:
+                    async with self.leases.hold(LEADER_LEASE) as held:
                         await self._lead_while_held(held)
                 except* LeaseLostError:
-                    self.running.set_leader(None, self.leases.views[LEADERSHIP].lease.state.token)
+                    self.proxy_instance.set_leader(None, self.leases.views[LEADER_LEASE].lease.state.token)
         self.released.set()
 
     async def _cancel_when_stopping(self, scope: anyio.CancelScope) -> None:
@@ -147,36 +155,44 @@
         scope.cancel()
 
     async def _lead_while_held(self, held: HeldLease) -> None:
-        """Reduce the traffic of builds; which one stands in the register before that is begun."""
-        requested: list[int] = []
-        wanted = anyio.Event()
+        """Reduce the traffic of builds on request.
+
+        Each build is stored in the register before its traffic reduction starts. Build 0 stands for the end
+        of a reduction.
+        """
+        requested_builds: list[int] = []
+        build_requested = anyio.Event()
 
-        def request(build: int) -> None:
-            if not requested:
-                requested.append(build)
-                wanted.set()
+        def request_reduction(build: int) -> None:
+            if not requested_builds:
+                requested_builds.append(build)
+                build_requested.set()
 
-        self.running.on_traffic_reduction(request)
+        self.proxy_instance.on_traffic_reduction(request_reduction)
         async with anyio.create_task_group() as tasks:
             if self.lease_config.announce is not None:
                 tasks.start_soon(self._announce, held, self.lease_config.announce)
             while True:
-                await wanted.wait()
-                wanted = anyio.Event()
-                build = requested[0]
+                await build_requested.wait()
+                build_requested = anyio.Event()
+                build = requested_builds[0]
                 await held.write({"lessened": build})
-                requested.clear()
+                requested_builds.clear()
                 if build:
-                    self.running.allow_traffic_reduction(build)
+                    self.proxy_instance.allow_traffic_reduction(build)
 
     async def _announce(self, held: HeldLease, receiver: AnnouncementConfig) -> None:
-        """Tell the receiver whom the operators named who leads."""
-        number = 0
+        """Announce the leader to the configured receiver at regular intervals.
+
+        Raises:
+            LeaseLostError: This instance no longer holds the lease.
+        """
+        sequence_number = 0
         while True:
             held.check()
-            number += 1
+            sequence_number += 1
             announcement = LeaderAnnouncement(
-                work=held.name, holder=self.config.number, token=held.token, number=number
+                work=held.name, holder=self.config.number, token=held.token, number=sequence_number
             )
             body = msgspec.json.encode(announcement)
             try:
