--- a/tests/proxy/test_streaming.py
+++ b/tests/proxy/test_streaming.py
@@ -271,9 +271,9 @@
     head = b"POST /look HTTP/1.1\r\nhost: x\r\ncontent-length: 5000\r\n\r\n"
 
     async def reads_whole_body(stream: Stream) -> None:
-        received = b""
-        while len(received) < len(body):
-            received += await stream.receive()
+        request_bytes = b""
+        while len(request_bytes) < len(body):
+            request_bytes += await stream.receive()
         await stream.send(OK_RESPONSE)
 
     clients = {"body_kept": 100}
