--- a/gullmount/proxy/event_loop_stalls.py
+++ b/gullmount/proxy/event_loop_stalls.py
@@ -168,5 +168,5 @@
             self.check_for_stall()
             if self.resuming:
                 return
-            with self.handler_errors.contained("deferred callback after a stall"):
+            with self.handler_errors.contained("event after a stall"):
                 self._deferred_callbacks.popleft()()
--- a/gullmount/proxy/release_controller_client.py
+++ b/gullmount/proxy/release_controller_client.py
@@ -163,7 +163,7 @@
                 )
             self.handle_vote_response(status, body)
         except (CallError, InvalidMessageError, TimeoutError) as error:
-            self.runtime.log_event(LogEvent.VOTE_FAILED, reason=str(error) or "no response in time")
+            self.runtime.log_event(LogEvent.VOTE_FAILED, reason=str(error) or "no answer in time")
             self.runtime.router.vote_failed(build)
 
     def handle_vote_response(self, status: int, body: bytes) -> None:
