--- a/gullmount/distribution/errors.py
+++ b/gullmount/distribution/errors.py
@@ -97,7 +97,7 @@
         super().__init__(f"unknown key {key[:MAX_KEY_CHARACTERS]}")
 
 
-class NotRoutesError(UnusableUpdateError):
+class RoutesNotAListError(UnusableUpdateError):
     """A configuration's routes are no list."""
 
     def __init__(self) -> None:
--- a/gullmount/distribution/route_table.py
+++ b/gullmount/distribution/route_table.py
@@ -12,8 +12,8 @@
 from gullmount.distribution.config import SubscribedProxyConfig
 from gullmount.distribution.errors import (
     DuplicateRouteError,
-    NotRoutesError,
     RouteCountError,
+    RoutesNotAListError,
     UnusableUpdateError,
 )
 from gullmount.proxy.config import AT_MOST_ONCE_SUFFIX, RouteConfig
@@ -33,7 +33,7 @@
     Raises UnusableUpdateError, whose reason names the key and holds no value.
     """
     if not isinstance(value, dict) or value.keys() != {"routes"} or not isinstance(value["routes"], list):
-        raise NotRoutesError
+        raise RoutesNotAListError
     if not 0 < len(value["routes"]) <= MAX_ROUTES:
         raise RouteCountError(len(value["routes"]), MAX_ROUTES)
     try:
--- a/gullmount/distribution/subscriptions.py
+++ b/gullmount/distribution/subscriptions.py
@@ -95,7 +95,7 @@
 
     def add_topics(self, name: str, session: int, held: Mapping[str, Version]) -> bool:
         """Subscribe to more topics, or request some again (NO_VERSION). False: there is no such stream."""
-        subscription = self.current(name, session)
+        subscription = self.active_subscription(name, session)
         if subscription is None:
             return False
         self.add_to(subscription, held, {}, NO_VERSION)
@@ -104,7 +104,7 @@
 
     def remove_topics(self, name: str, session: int, topics: Iterable[str], now: float) -> bool:
         """Unsubscribe from topics. False: there is no such stream."""
-        subscription = self.current(name, session)
+        subscription = self.active_subscription(name, session)
         if subscription is None:
             return False
         for topic in topics:
@@ -115,7 +115,7 @@
 
     def disconnect(self, name: str, session: int, now: float) -> None:
         """Note that a stream ended; it is not the subscriber's current one if it has begun another."""
-        subscription = self.current(name, session)
+        subscription = self.active_subscription(name, session)
         if subscription is None:
             return
         subscription.disconnected_at = now
@@ -147,7 +147,7 @@
             del self.unused_topics[topic]
         return unused
 
-    def current(self, name: str, session: int) -> Subscription | None:
+    def active_subscription(self, name: str, session: int) -> Subscription | None:
         """The subscription whose stream has this session, if that has not ended."""
         subscription = self.by_subscriber.get(name)
         if subscription is None or subscription.session != session:
@@ -235,7 +235,7 @@
 
         They count as sent: a stream that breaks then is begun again with what was received.
         """
-        subscription = self.current(name, session)
+        subscription = self.active_subscription(name, session)
         if subscription is None:
             return None
         updates: list[bytes] = []
@@ -250,7 +250,7 @@
         if not updates:
             return None
         line = encode_update_line(
-            self.store.newest_seen, self.complete_for(subscription), self.has_more(subscription), updates
+            self.store.newest_seen, self.complete_version(subscription), self.has_more(subscription), updates
         )
         return Batch(line, len(updates))
 
@@ -273,17 +273,17 @@
 
         `origin_silent_seconds`: at a relay, since when the origin was not heard, where that is to be said.
         """
-        subscription = self.current(name, session)
+        subscription = self.active_subscription(name, session)
         if subscription is None:
             return None
         return encode_heartbeat(
             self.store.newest_seen,
-            self.complete_for(subscription),
+            self.complete_version(subscription),
             self.has_more(subscription),
             origin_silent_seconds,
         )
 
-    def complete_for(self, subscription: Subscription) -> Version:
+    def complete_version(self, subscription: Subscription) -> Version:
         """Up to which version the subscriber's topics are complete here."""
         complete = self.store.as_of
         for topic, version in self.store.gaps.items():
@@ -297,7 +297,7 @@
 
     def next_batch_bytes(self, name: str, session: int) -> int:
         """Size of the smallest next batch in bytes; 0 if nothing is to be sent."""
-        subscription = self.current(name, session)
+        subscription = self.active_subscription(name, session)
         topic = subscription.next_topic() if subscription is not None else None
         if subscription is None or topic is None:
             return 0
--- a/gullmount/distribution/update_stream.py
+++ b/gullmount/distribution/update_stream.py
@@ -61,7 +61,7 @@
         """The next line, when there is one."""
         server = self.server
         subscriptions = server.subscriptions
-        while subscriptions.current(self.name, self.session) is not None:
+        while subscriptions.active_subscription(self.name, self.session) is not None:
             await server.wait_until_current()
             now = server.clock()
             wait = self.rate_wait(now)
--- a/tests/support/planted_distribution_faults.py
+++ b/tests/support/planted_distribution_faults.py
@@ -122,13 +122,13 @@
         return found
 
     def next_batch(self, name: str, session: int, most_bytes: int) -> Batch | None:
-        subscriber = self.current(name, session)
+        subscriber = self.active_subscription(name, session)
         queue = self.queues().get(name)
         if subscriber is None or not queue:
             return super().next_batch(name, session, most_bytes)
         topic, part = queue.pop(0)
         subscriber.mark_sent(topic)
-        complete, more = self.complete_for(subscriber), self.has_more(subscriber)
+        complete, more = self.complete_version(subscriber), self.has_more(subscriber)
         return Batch(encoding.encode_update_line(self.store.newest_seen, complete, more, [part]), 1)
 
 
