--- a/gullmount/distribution/errors.py
+++ b/gullmount/distribution/errors.py
@@ -8,7 +8,7 @@
 from gullmount.errors import GullmountError
 from gullmount.rpc.errors import InvalidMessageError
 
-MAX_KEY_CHARACTERS = 40  # of an unknown key that is reported
+MAX_REPORTED_KEY_CHARACTERS = 40  # of an unknown key that is reported
 
 
 class DistributionError(GullmountError):
@@ -94,7 +94,7 @@
     """A configuration has a key that is not known."""
 
     def __init__(self, key: str) -> None:
-        super().__init__(f"unknown key {key[:MAX_KEY_CHARACTERS]}")
+        super().__init__(f"unknown key {key[:MAX_REPORTED_KEY_CHARACTERS]}")
 
 
 class RoutesNotAListError(UnusableUpdateError):
--- a/gullmount/distribution/origin.py
+++ b/gullmount/distribution/origin.py
@@ -113,15 +113,15 @@
         `complete_topics`: topics of which these are all the entries. Raises IncompleteTopicError,
         TopicTooLargeError.
         """
-        normalized = self.normalized(changes, complete_topics)
+        normalized = self.normalize_changes(changes, complete_topics)
         version, changed = self.store.commit(normalized)
-        opened = {*complete_topics, *(change.topic for change in normalized)} - self.store.logs.keys()
-        for topic in opened:
+        new_topics = {*complete_topics, *(change.topic for change in normalized)} - self.store.logs.keys()
+        for topic in new_topics:
             self.store.open_topic(topic)
-        self.topics_changed({*changed, *opened})
+        self.topics_changed({*changed, *new_topics})
         return version
 
-    def normalized(
+    def normalize_changes(
         self, changes: Iterable[EntryChange], complete_topics: Collection[str]
     ) -> list[EntryChange]:
         """The changes, with removals of what is not in a complete topic, and ages as start times."""
@@ -144,7 +144,7 @@
         sizes: dict[str, int] = {}
         for topic, key, value in changes:
             log = self.store.logs.get(topic)
-            entry = self.entry(topic, key)
+            entry = self.stored_entry(topic, key)
             size = sizes.get(topic, log.size_bytes if log is not None else 0)
             size -= 0 if entry is None else len(key) + len(entry.value)
             sizes[topic] = size + (0 if value is None else len(key) + len(msgspec.json.encode(value)))
@@ -152,7 +152,7 @@
             if size > MAX_TOPIC_BYTES:
                 raise TopicTooLargeError(topic, size, MAX_TOPIC_BYTES)
 
-    def entry(self, topic: str, key: str) -> LogEntry | None:
+    def stored_entry(self, topic: str, key: str) -> LogEntry | None:
         """What is held for a key."""
         log = self.store.logs.get(topic)
         return log.entries.get(key) if log is not None else None
@@ -164,14 +164,18 @@
         """
         if not isinstance(value, dict) or not isinstance(value.get("age"), int | float):
             return value
-        dated = {name: field for name, field in value.items() if name != "age"}
-        dated["since"] = round(self.wall() - value["age"], 3)
-        entry = self.entry(topic, key)
-        if entry is not None and dated.get("start") is not None:
-            before = msgspec.json.decode(entry.value)
-            if isinstance(before, dict) and before.get("start") == dated["start"] and "since" in before:
-                dated["since"] = before["since"]
-        return dated
+        endpoint = {name: field for name, field in value.items() if name != "age"}
+        endpoint["since"] = round(self.wall() - value["age"], 3)
+        entry = self.stored_entry(topic, key)
+        if entry is not None and endpoint.get("start") is not None:
+            previous = msgspec.json.decode(entry.value)
+            if (
+                isinstance(previous, dict)
+                and previous.get("start") == endpoint["start"]
+                and "since" in previous
+            ):
+                endpoint["since"] = previous["since"]
+        return endpoint
 
     async def store_and_commit(self, changes: list[EntryChange], complete_topics: Collection[str]) -> Version:
         """Store, count and send changes.
@@ -179,7 +183,7 @@
         Raises IncompleteTopicError, TopicTooLargeError, OSError: nothing was sent then.
         """
         async with self.commit_lock:
-            normalized = self.normalized(changes, complete_topics)
+            normalized = self.normalize_changes(changes, complete_topics)
             known = {*complete_topics, *(change.topic for change in normalized)}
             await self.storage.append(normalized, known, self.snapshot)
             return self.commit(normalized, complete_topics)
@@ -193,21 +197,21 @@
 
     # Requests
 
-    async def answer_other(self, asked: Request, path: str) -> Response | None:
+    async def answer_other(self, request: Request, path: str) -> Response | None:
         """Changes, relays' reports, and what is in force."""
-        if path == CHANGES_PATH and asked.method == "POST":
-            return await self.answer_changes(asked)
-        if path == IN_FORCE_PATH and asked.method == "POST":
-            return self.answer_relay_summary(asked)
-        if path == IN_FORCE_PATH and asked.method == "GET":
+        if path == CHANGES_PATH and request.method == "POST":
+            return await self.answer_changes(request)
+        if path == IN_FORCE_PATH and request.method == "POST":
+            return self.answer_relay_summary(request)
+        if path == IN_FORCE_PATH and request.method == "GET":
             zones = self.relay_summaries.summary(self.clock())
             silent = sorted(self.config.relays.keys() - self.relay_summaries.relays.keys())
             return json_answer({"as_of": self.store.as_of, "zones": zones, "silent": silent})
         return None
 
-    def answer_relay_summary(self, asked: Request) -> Response:
+    def answer_relay_summary(self, request: Request) -> Response:
         """Take in a relay's report."""
-        report = decoding.parse_relay_summary(asked.body, self.wall())
+        report = decoding.parse_relay_summary(request.body, self.wall())
         if report.relay not in self.config.relays:
             self.log(LogEvent.SUMMARY_FROM_UNKNOWN_RELAY, relay=report.relay)
             return text_answer(FORBIDDEN, "not named")
@@ -216,12 +220,12 @@
         self.relay_summaries.record(report.relay, report.zones, self.clock())
         return json_answer({})
 
-    async def answer_changes(self, asked: Request) -> Response:
+    async def answer_changes(self, request: Request) -> Response:
         """Make changes and answer with their version."""
-        request = decoding.parse_changes(asked.body)
-        changes = [EntryChange(item.topic, item.key, item.value) for item in request.changes]
+        changes_request = decoding.parse_changes(request.body)
+        changes = [EntryChange(item.topic, item.key, item.value) for item in changes_request.changes]
         try:
-            version = await self.store_and_commit(changes, request.complete_topics)
+            version = await self.store_and_commit(changes, changes_request.complete_topics)
         except IncompleteTopicError as error:
             return text_answer(CONFLICT, str(error))
         except TopicTooLargeError as error:
@@ -241,10 +245,10 @@
     def on_topics_requested(self, topics: Collection[str]) -> None:
         """Open topics without entries as empty ones, if all is known."""
         if self.all_known:
-            new = [topic for topic in topics if topic not in self.store.logs]
-            for topic in new:
+            missing_topics = [topic for topic in topics if topic not in self.store.logs]
+            for topic in missing_topics:
                 self.store.open_topic(topic)
-            self.topics_changed(new)
+            self.topics_changed(missing_topics)
 
     def on_topics_unused(self, topics: list[str]) -> None:
         """Drop topics that never had an entry: names that someone made up are not held."""
--- a/gullmount/distribution/origin_storage.py
+++ b/gullmount/distribution/origin_storage.py
@@ -20,7 +20,7 @@
 from gullmount.proxy import FileStateStore
 from gullmount.rpc import MESSAGE_VERSION, InvalidMessageError, check_fields, convert, decode_message
 
-MIN_LOG_BYTES = 4 << 20  # of changes, below which the state is not written whole again
+MIN_COMPACTION_LOG_BYTES = 4 << 20  # of changes, below which the state is not written whole again
 
 State = Mapping[str, Mapping[str, Any]]  # values, or their JSON as msgspec.Raw, by topic and key
 
@@ -128,12 +128,12 @@
 
     async def load(self, wall_ms: int) -> OriginState:
         """Begin an epoch. Raises OSError, StateFileDamagedError."""
-        before = self.read()
-        self.epoch = max(before.epoch + 1, wall_ms)
-        self.all_known = before.all_known
+        previous = self.read()
+        self.epoch = max(previous.epoch + 1, wall_ms)
+        self.all_known = previous.all_known
         self.path.parent.mkdir(parents=True, exist_ok=True)
-        await self.write_snapshot(self.encode_snapshot(before.topics))
-        return OriginState(self.epoch, before.topics, self.all_known)
+        await self.write_snapshot(self.encode_snapshot(previous.topics))
+        return OriginState(self.epoch, previous.topics, self.all_known)
 
     def read(self) -> OriginState:
         """What is stored. Raises OSError, StateFileDamagedError."""
@@ -141,14 +141,14 @@
         if data is None:
             return OriginState(0, {}, self.remembered and self.initialize)
         try:
-            state = self.read_state(data)
+            state = self.decode_state(data)
         except InvalidMessageError as error:
             raise StateFileDamagedError(self.path, str(error)) from None
         if not self.remembered:
             return OriginState(state.epoch, {}, False)
         return state
 
-    def read_state(self, data: bytes) -> OriginState:
+    def decode_state(self, data: bytes) -> OriginState:
         """The state file with the changes since. Raises OSError, InvalidMessageError."""
         stored = check_fields(decode_message(data), {"epoch": int, "topics": dict, "all_known": bool})
         topics = convert(stored["topics"], dict[str, dict[str, Any]])
@@ -190,23 +190,23 @@
             return
         line = msgspec.json.encode(StoredChanges(MESSAGE_VERSION, self.epoch, changes, sorted(known))) + b"\n"
         with anyio.CancelScope(shield=True):
-            size = await anyio.to_thread.run_sync(self.write_line, line)
-            if size > max(MIN_LOG_BYTES, 2 * self.snapshot_bytes):
+            size = await anyio.to_thread.run_sync(self.append_line, line)
+            if size > max(MIN_COMPACTION_LOG_BYTES, 2 * self.snapshot_bytes):
                 await self.write_snapshot(self.encode_snapshot(state()))
 
-    def write_line(self, line: bytes) -> int:
+    def append_line(self, line: bytes) -> int:
         """Add a line to the log; the log's size in bytes. Raises OSError, and undoes what was written."""
         if self.write_failed:
             raise ChangeLogUnusableError(self.change_log)
         with self.change_log.open("ab") as file:
-            before = file.tell()
+            previous_size = file.tell()
             try:
                 file.write(line)
                 file.flush()
                 os.fsync(file.fileno())
             except OSError:
                 self.write_failed = True
-                os.truncate(self.change_log, before)
+                os.truncate(self.change_log, previous_size)
                 self.write_failed = False
                 raise
-        return before + len(line)
+        return previous_size + len(line)
--- a/gullmount/distribution/send_rate.py
+++ b/gullmount/distribution/send_rate.py
@@ -32,13 +32,13 @@
 
     def earliest_send(self, size_bytes: int, now: float) -> float:
         """When so many bytes may be sent."""
-        available, at = self.available_bytes(now), now
+        available, earliest = self.available_bytes(now), now
         for batch in self.sent:
             if available >= size_bytes:
                 break
             available += batch.size_bytes
-            at = batch.at + WINDOW_SECONDS
-        return at
+            earliest = batch.at + WINDOW_SECONDS
+        return earliest
 
     def record_sent(self, size_bytes: int, now: float) -> None:
         """Count a batch that was sent."""
--- a/gullmount/distribution/subscriber_progress.py
+++ b/gullmount/distribution/subscriber_progress.py
@@ -38,7 +38,7 @@
     return version if gap is None else min(version, gap)
 
 
-def progress_of(subscription: Subscription, store: TopicStore) -> SubscriberProgress:
+def compute_subscriber_progress(subscription: Subscription, store: TopicStore) -> SubscriberProgress:
     """The subscriber's progress; topics that it never had count as starting, not for the versions."""
     rejected = {topic for topic in subscription.rejections if rejects_newest(subscription, topic, store)}
     lowest: Version | None = None
@@ -49,17 +49,17 @@
         if version == NO_VERSION:
             is_starting = True
             continue
-        reached = in_force_up_to(subscription, topic, version, store)
-        if lowest_used is None or reached < lowest_used:
-            lowest_used = reached
+        reached_version = in_force_up_to(subscription, topic, version, store)
+        if lowest_used is None or reached_version < lowest_used:
+            lowest_used = reached_version
         if topic not in rejected:
             is_behind = True
-            if lowest is None or reached < lowest:
-                lowest = reached
+            if lowest is None or reached_version < lowest:
+                lowest = reached_version
     return SubscriberProgress(lowest, lowest_used, is_starting, is_behind, bool(rejected))
 
 
-def zone_summary(
+def summarize_zone(
     count: int,
     unsettled: Iterable[Subscription],
     progress: Callable[[Subscription], SubscriberProgress],
@@ -74,15 +74,17 @@
     for subscription in unsettled:
         if subscription.disconnected_at is not None:
             disconnected.append(subscription.name)
-        found = progress(subscription)
-        reached = as_of if found.lowest is None else min(as_of, found.lowest)
-        lowest = min(lowest, reached)
-        if found.lowest_used is not None:
-            lowest_used = min(lowest_used, found.lowest_used)
-        starting += found.is_starting
-        unusable += found.rejects_newest
-        if found.is_behind and not found.is_starting:
-            behind.append(LaggingSubscriber(subscription.name, reached))
+        subscriber_progress = progress(subscription)
+        reached_version = (
+            as_of if subscriber_progress.lowest is None else min(as_of, subscriber_progress.lowest)
+        )
+        lowest = min(lowest, reached_version)
+        if subscriber_progress.lowest_used is not None:
+            lowest_used = min(lowest_used, subscriber_progress.lowest_used)
+        starting += subscriber_progress.is_starting
+        unusable += subscriber_progress.rejects_newest
+        if subscriber_progress.is_behind and not subscriber_progress.is_starting:
+            behind.append(LaggingSubscriber(subscription.name, reached_version))
         unusable_versions += [
             UnusableVersion(subscription.name, topic, rejection.version, rejection.reason)
             for topic, rejection in subscription.rejections.items()
@@ -101,7 +103,11 @@
             nsmallest(
                 MAX_NAMES,
                 unusable_versions,
-                key=lambda found: (found.version, found.subscriber, found.topic),
+                key=lambda unusable_version: (
+                    unusable_version.version,
+                    unusable_version.subscriber,
+                    unusable_version.topic,
+                ),
             )
         ),
         disconnected_names=tuple(nsmallest(MAX_NAMES, disconnected)),
--- a/gullmount/distribution/subscriptions.py
+++ b/gullmount/distribution/subscriptions.py
@@ -12,7 +12,7 @@
 from gullmount.distribution.encoding import LINE_FRAME_BYTES, encode_heartbeat, encode_update_line
 from gullmount.distribution.errors import TooManySubscribersError
 from gullmount.distribution.in_force_summary import MAX_REASON_CHARACTERS, InForceSummary
-from gullmount.distribution.subscriber_progress import progress_of, zone_summary
+from gullmount.distribution.subscriber_progress import compute_subscriber_progress, summarize_zone
 from gullmount.distribution.subscription import (
     CONFIGURATION_QUEUE,
     ENDPOINT_QUEUE,
@@ -25,7 +25,7 @@
 
 MAX_SUBSCRIBERS = 10_000
 DISCONNECT_GRACE_SECONDS = 5.0  # for which a subscriber counts after its stream ended: most reconnect within
-UNUSED_TOPIC_SECONDS = 60.0  # without subscribers, after which a topic is dropped
+UNUSED_TOPIC_TIMEOUT_SECONDS = 60.0  # without subscribers, after which a topic is dropped
 
 
 @dataclass(frozen=True)
@@ -88,7 +88,7 @@
         subscription = Subscription(name, zone, self.last_session, with_history)
         self.by_subscriber[name] = subscription
         self.count_by_zone[zone] = self.count_by_zone.get(zone, 0) + 1
-        self.add_to(subscription, held, in_force or {}, as_of)
+        self.add_subscription_topics(subscription, held, in_force or {}, as_of)
         self.record_rejections(subscription, rejections or {})
         self.progress_changed(subscription)
         return subscription.session
@@ -98,7 +98,7 @@
         subscription = self.active_subscription(name, session)
         if subscription is None:
             return False
-        self.add_to(subscription, held, {}, NO_VERSION)
+        self.add_subscription_topics(subscription, held, {}, NO_VERSION)
         self.progress_changed(subscription)
         return True
 
@@ -109,7 +109,7 @@
             return False
         for topic in topics:
             if subscription.includes(topic):
-                self.remove_topic(subscription, topic, now)
+                self.remove_subscription_topic(subscription, topic, now)
         self.progress_changed(subscription)
         return True
 
@@ -140,7 +140,7 @@
         """Topics that nobody has subscribed to for a while; each is returned once."""
         unused: list[str] = []
         for topic, since in self.unused_topics.items():
-            if now - since < UNUSED_TOPIC_SECONDS:
+            if now - since < UNUSED_TOPIC_TIMEOUT_SECONDS:
                 break
             unused.append(topic)
         for topic in unused:
@@ -154,7 +154,7 @@
             return None
         return None if subscription.disconnected_at is not None else subscription
 
-    def add_to(
+    def add_subscription_topics(
         self,
         subscription: Subscription,
         held: Mapping[str, Version],
@@ -172,9 +172,9 @@
                 subscription.first_sent.setdefault(topic, version)  # it is about to apply it
             self.by_topic.setdefault(topic, {})[subscription.name] = subscription
             self.unused_topics.pop(topic, None)
-            self.refresh(subscription, topic)
+            self.refresh_topic(subscription, topic)
 
-    def refresh(self, subscription: Subscription, topic: str) -> None:
+    def refresh_topic(self, subscription: Subscription, topic: str) -> None:
         """Find out what is to be sent and what is not in force, after either side changed."""
         log = self.store.logs.get(topic)
         if log is None:
@@ -197,14 +197,14 @@
         if subscription is None:
             return
         for topic in list(subscription.sent):
-            self.remove_topic(subscription, topic, now)
+            self.remove_subscription_topic(subscription, topic, now)
         self.unsettled.pop(name, None)
         self.disconnected.pop(name, None)
         self.count_by_zone[subscription.zone] -= 1
         if not self.count_by_zone[subscription.zone]:
             del self.count_by_zone[subscription.zone]
 
-    def remove_topic(self, subscription: Subscription, topic: str, now: float) -> None:
+    def remove_subscription_topic(self, subscription: Subscription, topic: str, now: float) -> None:
         """Remove one topic from a subscription."""
         subscription.remove_topic(topic)
         others = self.by_topic[topic]
@@ -224,7 +224,7 @@
         waiting: dict[str, None] = {}
         for topic in topics:
             for subscription in self.by_topic.get(topic, {}).values():
-                self.refresh(subscription, topic)
+                self.refresh_topic(subscription, topic)
                 self.progress_changed(subscription)
                 if subscription.has_unsent():
                     waiting[subscription.name] = None
@@ -246,7 +246,7 @@
             if updates and size > max_bytes:
                 break
             updates.append(update)
-            self.note_sent(subscription, topic)
+            self.record_sent(subscription, topic)
         if not updates:
             return None
         line = encode_update_line(
@@ -254,7 +254,7 @@
         )
         return Batch(line, len(updates))
 
-    def note_sent(self, subscription: Subscription, topic: str) -> None:
+    def record_sent(self, subscription: Subscription, topic: str) -> None:
         """The topic's newest version is in a batch."""
         is_configuration = topic in subscription.unsent[CONFIGURATION_QUEUE]
         subscription.next_queue = ENDPOINT_QUEUE if is_configuration else CONFIGURATION_QUEUE
@@ -317,12 +317,12 @@
             return False
         for topic, version in in_force.items():
             if subscription.includes(topic) and version > subscription.in_force[topic]:
-                self.note_in_force(subscription, topic, version)
+                self.record_in_force(subscription, topic, version)
         self.record_rejections(subscription, rejections)
         self.progress_changed(subscription)
         return True
 
-    def note_in_force(self, subscription: Subscription, topic: str, version: Version) -> None:
+    def record_in_force(self, subscription: Subscription, topic: str, version: Version) -> None:
         """A newer version of the topic is in force at the subscriber."""
         subscription.in_force[topic] = version
         subscription.complete_as_of.pop(topic, None)
@@ -330,7 +330,7 @@
         rejection = subscription.rejections.get(topic)
         if rejection is not None and rejection.version <= version:
             del subscription.rejections[topic]
-        self.refresh(subscription, topic)
+        self.refresh_topic(subscription, topic)
 
     def record_rejections(self, subscription: Subscription, rejections: Mapping[str, Rejection]) -> None:
         """Note versions that the subscriber can't use, unless a newer one is in force or rejected."""
@@ -364,7 +364,7 @@
 
     def compute_progress(self, subscription: Subscription) -> SubscriberProgress:
         """The subscriber's progress from its topics."""
-        return progress_of(subscription, self.store)
+        return compute_subscriber_progress(subscription, self.store)
 
     def summary(self) -> dict[str, InForceSummary]:
         """What is in force by zone, from the unsettled subscriptions only."""
@@ -373,6 +373,6 @@
             by_zone[subscription.zone].append(subscription)
         as_of = self.store.as_of
         return {
-            zone: zone_summary(self.count_by_zone[zone], unsettled, self.progress, as_of)
+            zone: summarize_zone(self.count_by_zone[zone], unsettled, self.progress, as_of)
             for zone, unsettled in sorted(by_zone.items())
         }
--- a/tests/distribution/test_origin.py
+++ b/tests/distribution/test_origin.py
@@ -17,11 +17,11 @@
 
 
 def test_origin_reports_the_lowest_version_and_who_is_behind_or_rejects() -> None:
-    async def play(scene: Scene) -> None:
+    async def check(scene: Scene) -> None:
         await fleet(scene, "a1", "a2", "b1")
         for number in range(6):
             scene.subscriber(f"u{number}", ["pay"], zone="a" if number < 4 else "b")
-        await scene.until(lambda: all(one.synced.is_set() for one in scene.subscribers.values()))
+        await scene.until(lambda: all(member.synced.is_set() for member in scene.subscribers.values()))
         version = scene.configure(1)
 
         async def lowest(zone: str) -> Any:
@@ -39,145 +39,149 @@
         assert zone["unable_names"] == [["u5", "config/pay", list(second), "no use for 2"]]
         assert zone["unable"] == 1
         assert scene.got["u5"].number["pay"] == 1 and scene.got["u4"].number["pay"] == 2
-        told = await scene.in_force()
-        assert {zone: one["followers"] for zone, one in told["zones"].items()} == {"a": 4, "b": 2}
-        assert told["zones"]["b"]["lowest_used"] < list(second)
+        report = await scene.in_force()
+        assert {zone: summary["followers"] for zone, summary in report["zones"].items()} == {"a": 4, "b": 2}
+        assert report["zones"]["b"]["lowest_used"] < list(second)
 
-    run_scene(play)
+    run_scene(check)
 
 
 def test_subscriber_that_receives_nothing_is_named_as_behind_or_disconnected() -> None:
-    async def play(scene: Scene) -> None:
+    async def check(scene: Scene) -> None:
         await fleet(scene, "a1")
         for name in ("one", "two"):
             scene.subscriber(name, ["pay"], relays={"a1": RELAYS["a1"]})
-        await scene.until(lambda: all(one.synced.is_set() for one in scene.subscribers.values()))
+        await scene.until(lambda: all(member.synced.is_set() for member in scene.subscribers.values()))
         scene.cut("two", RELAYS["a1"])
         scene.configure(1)
-        named: set[str] = set()
+        reported_names: set[str] = set()
         with anyio.fail_after(60):
-            while "two" not in named:
+            while "two" not in reported_names:
                 zone = (await scene.in_force())["zones"].get("a", {})
-                named = {name for name, _ in zone.get("behind_names", [])} | set(zone.get("gone_names", []))
+                reported_names = {name for name, _ in zone.get("behind_names", [])} | set(
+                    zone.get("gone_names", [])
+                )
                 await anyio.sleep(0.1)
         assert scene.got["one"].number["pay"] == 1
 
-    run_scene(play)
+    run_scene(check)
 
 
-def test_origin_without_stored_state_sends_no_topic_before_all_of_it() -> None:
-    async def play(scene: Scene) -> None:
+def test_origin_without_stored_state_sends_a_topic_only_once_it_is_complete() -> None:
+    async def check(scene: Scene) -> None:
         scene.kept = MemoryOriginStorage()
         await scene.origin(remembered=False)
         await scene.relay("a1")
-        made, got = scene.subscriber("one", ["pay"]), scene.got["one"]
-        asker = scene.party("feeder", "10.0.8.1", "s")
+        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.got["one"]
+        client = scene.party("feeder", "10.0.8.1", "s")
 
-        async def post(key: str, **more: Any) -> int:
+        async def post(key: str, **extra_fields: Any) -> int:
             change = {"topic": "boxes/pay", "key": key, "value": SERVER}
-            body = msgspec.json.encode({"v": 1, "changes": [change], **more})
-            return (await call(asker, ORIGIN, "POST", "/v1/changes", body))[0]
+            body = msgspec.json.encode({"v": 1, "changes": [change], **extra_fields})
+            return (await call(client, ORIGIN, "POST", "/v1/changes", body))[0]
 
         assert await post("h:1") == 409
         assert await post("h:1", whole=["boxes/pay", "config/pay"]) == 200
         assert await post("h:2") == 200
-        await scene.until(made.synced.is_set)
-        await scene.until(lambda: got.endpoints_of["pay"].keys() == {"h:1", "h:2"})
+        await scene.until(subscriber_one.synced.is_set)
+        await scene.until(lambda: received.endpoints_of["pay"].keys() == {"h:1", "h:2"})
         assert await post("h:3", whole=["boxes/pay"]) == 200
-        await scene.until(lambda: got.endpoints_of["pay"].keys() == {"h:3"})
+        await scene.until(lambda: received.endpoints_of["pay"].keys() == {"h:3"})
 
-    run_scene(play)
+    run_scene(check)
 
 
 @pytest.mark.parametrize("remembered", [True, False])
-def test_origin_restarted_with_lower_revisions_and_a_wall_clock_set_back(remembered: bool) -> None:
-    async def play(scene: Scene) -> None:
+def test_restart_with_lower_revisions_and_a_wall_clock_set_back_begins_a_higher_epoch(
+    remembered: bool,
+) -> None:
+    async def check(scene: Scene) -> None:
         scene.kept = MemoryOriginStorage(remembered)
         await scene.origin(remembered=remembered)
         await scene.relay("a1")
         await scene.relay("a2")
         for number in range(30):
-            whole = [] if remembered else ["config/pay", "boxes/pay"]
-            scene.origins[-1].commit([("config/pay", "routes", {"n": number})], whole)
+            complete_topic_names = [] if remembered else ["config/pay", "boxes/pay"]
+            scene.origins[-1].commit([("config/pay", "routes", {"n": number})], complete_topic_names)
         if remembered:
             await scene.kept.append([("config/pay", "routes", {"n": 29})], [], dict)
-        made, got = scene.subscriber("one", ["pay"]), scene.got["one"]
-        await scene.until(made.synced.is_set)
-        first = made.store.version("config/pay")
+        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.got["one"]
+        await scene.until(subscriber_one.synced.is_set)
+        first = subscriber_one.store.version("config/pay")
         await scene.kill("source")
         await anyio.sleep(20)
-        assert got.number["pay"] == 29
+        assert received.number["pay"] == 29
         scene.wall_offset = -86_400.0
         await scene.origin(remembered=remembered)
         await anyio.sleep(30)
-        assert got.number["pay"] == 29  # neither emptied nor taken back
+        assert received.number["pay"] == 29  # neither emptied nor taken back
         version = scene.origins[-1].commit(
             [("config/pay", "routes", {"n": 30})], [] if remembered else ["config/pay"]
         )
         assert version.revision < first.revision and version > first
-        await scene.until(lambda: got.number["pay"] == 30)
-        assert [number for _, number in got.numbers] == sorted(number for _, number in got.numbers)
+        await scene.until(lambda: received.number["pay"] == 30)
+        assert [number for _, number in received.numbers] == sorted(number for _, number in received.numbers)
 
-    run_scene(play)
+    run_scene(check)
 
 
-def test_new_epoch_with_the_same_state_removes_no_configuration() -> None:
-    async def play(scene: Scene) -> None:
+def test_new_epoch_with_the_same_state_keeps_the_configuration_in_force() -> None:
+    async def check(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(5)
         await scene.kept.append([("config/pay", "routes", {"n": 5})], [], dict)
-        made, got = scene.subscriber("one", ["pay"]), scene.got["one"]
-        await scene.until(made.synced.is_set)
-        before = made.store.version("config/pay")
+        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.got["one"]
+        await scene.until(subscriber_one.synced.is_set)
+        before = subscriber_one.store.version("config/pay")
         await scene.kill("source")
         await scene.origin()
-        await scene.until(lambda: made.store.version("config/pay") > before)
+        await scene.until(lambda: subscriber_one.store.version("config/pay") > before)
         await anyio.sleep(5)
-        assert {number for _, number in got.numbers} == {5}
+        assert {number for _, number in received.numbers} == {5}
 
-    run_scene(play)
+    run_scene(check)
 
 
-def test_origin_that_lost_its_epoch_is_ignored() -> None:
-    async def play(scene: Scene) -> None:
+def test_updates_of_an_origin_with_a_lower_epoch_are_ignored() -> None:
+    async def check(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(5)
-        made, got = scene.subscriber("one", ["pay"]), scene.got["one"]
-        await scene.until(made.synced.is_set)
+        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.got["one"]
+        await scene.until(subscriber_one.synced.is_set)
         await scene.kill("source")
         scene.kept, scene.wall_offset = MemoryOriginStorage(remembered=True), -3600.0
         await scene.origin()
         scene.configure(4)
         await anyio.sleep(60)
-        assert got.number["pay"] == 5 and got.numbers == [("pay", 5)]
+        assert received.number["pay"] == 5 and received.numbers == [("pay", 5)]
         assert scene.logged("a1", LogEvent.UPDATE_MALFORMED)
 
-    run_scene(play)
+    run_scene(check)
 
 
-def test_origin_whose_file_was_lost_removes_nothing() -> None:
-    async def play(scene: Scene) -> None:
+def test_origin_that_lost_its_file_removes_nothing_from_subscribers() -> None:
+    async def check(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.origins[-1].commit(endpoint_changes("pay", 5))
         scene.configure(5)
-        made, got = scene.subscriber("one", ["pay"]), scene.got["one"]
-        await scene.until(made.synced.is_set)
+        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.got["one"]
+        await scene.until(subscriber_one.synced.is_set)
         await scene.kill("source")
         scene.kept = MemoryOriginStorage(remembered=True, initialize=False)
         await scene.origin()  # a later life by its clock, and blank
         await anyio.sleep(60)
-        assert got.number["pay"] == 5 and len(got.endpoints_of["pay"]) == 5
+        assert received.number["pay"] == 5 and len(received.endpoints_of["pay"]) == 5
         with pytest.raises(IncompleteTopicError):
             scene.origins[-1].commit(endpoint_changes("pay", 1))
         scene.origins[-1].commit(endpoint_changes("pay", 4), complete_topics=["boxes/pay"])
-        await scene.until(lambda: len(got.endpoints_of["pay"]) == 4)
-        assert got.number["pay"] == 5
+        await scene.until(lambda: len(received.endpoints_of["pay"]) == 4)
+        assert received.number["pay"] == 5
 
-    run_scene(play)
+    run_scene(check)
 
 
 @pytest.mark.parametrize(
-    ("target", "told", "status"),
+    ("target", "fields", "status"),
     [
         ("/v1/changes", {"changes": [{"topic": "tea/pay", "key": "k", "value": 1}]}, 400),
         ("/v1/changes", {"changes": [{"topic": "boxes/pay", "key": "", "value": 1}]}, 400),
@@ -189,12 +193,12 @@
         ("/v1/follow", {"follower": "b1", "zone": "a"}, 400),
     ],
 )
-def test_origin_refuses_malformed_requests(target: str, told: dict[str, Any], status: int) -> None:
-    async def play(scene: Scene) -> None:
+def test_origin_refuses_invalid_requests(target: str, fields: dict[str, Any], status: int) -> None:
+    async def check(scene: Scene) -> None:
         await scene.origin()
-        asker = scene.party("asker", "10.0.8.1", "s")
-        body = msgspec.json.encode({"v": 1, **told})
-        assert (await call(asker, ORIGIN, "POST", target, body))[0] == status
+        client = scene.party("asker", "10.0.8.1", "s")
+        body = msgspec.json.encode({"v": 1, **fields})
+        assert (await call(client, ORIGIN, "POST", target, body))[0] == status
         assert not scene.origins[-1].store.logs and (await scene.in_force())["zones"] == {}
 
-    run_scene(play)
+    run_scene(check)
--- a/tests/distribution/test_send_rate.py
+++ b/tests/distribution/test_send_rate.py
@@ -8,17 +8,17 @@
 
 
 def test_bytes_of_each_second_are_bounded() -> None:
-    random, pace, sent = Random(4), SendRateLimiter(7_000), []
+    random, limiter, sent_batches = Random(4), SendRateLimiter(7_000), []
     now = 0.0
     while now < 60.0:
         size = random.randrange(50, 4_000)
-        now = max(now, pace.earliest_send(size, now))
-        assert size <= pace.available_bytes(now)
-        pace.record_sent(size, now)
-        sent.append((now, size))
+        now = max(now, limiter.earliest_send(size, now))
+        assert size <= limiter.available_bytes(now)
+        limiter.record_sent(size, now)
+        sent_batches.append((now, size))
         now += random.random() * 0.3
-    for start, _ in sent:
-        assert sum(size for at, size in sent if start <= at < start + 1.0) <= 7_000
-    assert sum(size for _, size in sent) > 60 * 4_500
-    pace.record_sent(20_000, now + 1.0)  # one that is larger goes when nothing went for a second
-    assert pace.earliest_send(50, now + 1.0) == now + 2.0
+    for start, _ in sent_batches:
+        assert sum(size for at, size in sent_batches if start <= at < start + 1.0) <= 7_000
+    assert sum(size for _, size in sent_batches) > 60 * 4_500
+    limiter.record_sent(20_000, now + 1.0)  # one that is larger goes when nothing went for a second
+    assert limiter.earliest_send(50, now + 1.0) == now + 2.0
--- a/tests/distribution/test_stored_state.py
+++ b/tests/distribution/test_stored_state.py
@@ -33,7 +33,7 @@
 WALL = 1e6  # seconds
 
 
-def server(build: int, state: str, since: float) -> dict[str, Any]:
+def endpoint(build: int, state: str, since: float) -> dict[str, Any]:
     return {
         "zone": "a", "cell": 1, "build": build, "state": state, "power": 1.0, "start": f"s{build}",
         "since": since,
@@ -42,9 +42,9 @@
 
 ORIGIN_TOPICS = {
     "boxes/pay": {
-        "10.0.5.1:80": server(1, "ready", 1795999987.5),
-        "10.0.5.3:80": server(3, "ready", 1795999987.5),
-        "10.0.5.4:80": server(4, "draining", 1796000087.5),
+        "10.0.5.1:80": endpoint(1, "ready", 1795999987.5),
+        "10.0.5.3:80": endpoint(3, "ready", 1795999987.5),
+        "10.0.5.4:80": endpoint(4, "draining", 1796000087.5),
     },
     "boxes/sell": {},
     "config/pay": {"routes": {"routes": [{"name": "r0", "match": {"path": "/pay"}, "timeout": 1.0}]}},
@@ -52,21 +52,21 @@
 }
 
 
-def copied(folder: Path) -> Path:
+def copy_origin_files(folder: Path) -> Path:
     for name in ("origin-state.json", "origin-state.json.log"):
         shutil.copy(DATA / name, folder)
     return folder / "origin-state.json"
 
 
 def test_origin_state_and_change_log_of_the_earlier_version_are_read(tmp_path: Path) -> None:
-    state = FileOriginStorage(copied(tmp_path), remembered=True).read()
+    state = FileOriginStorage(copy_origin_files(tmp_path), remembered=True).read()
     assert (state.epoch, state.all_known) == (1796000100000, True)
     assert state.topics == ORIGIN_TOPICS
     assert list(state.topics["boxes/pay"]) == ["10.0.5.1:80", "10.0.5.3:80", "10.0.5.4:80"]
 
 
 def test_origin_that_loads_the_earlier_state_continues_above_its_epoch(tmp_path: Path) -> None:
-    storage = FileOriginStorage(copied(tmp_path), remembered=True)
+    storage = FileOriginStorage(copy_origin_files(tmp_path), remembered=True)
     state = anyio.run(storage.load, 0)
     assert state.epoch == 1796000100001 and state.topics == ORIGIN_TOPICS
     stored = json.loads(storage.path.read_bytes())
@@ -74,15 +74,16 @@
 
 
 def test_proxy_starts_from_the_state_that_the_earlier_version_remembered() -> None:
-    async def play(scene: Scene) -> None:
-        around: ProxyScene = await proxy_scene_begun(scene)
+    async def check(scene: Scene) -> None:
+        proxies: ProxyScene = await proxy_scene_begun(scene)
         memory = ProcessMemory()
         memory.data = (DATA / "subscriber-state.json").read_bytes()
-        made = await around.proxy(memory, ("pay", "sell"), start_within=1.0)
+        started_proxy = await proxies.proxy(memory, ("pay", "sell"), start_within=1.0)
         with anyio.fail_after(60):
-            await made.listening.wait()
+            await started_proxy.listening.wait()
         versions = {
-            topic: tuple(version) for topic, version in made.subscriber.acknowledgements.in_force.items()
+            topic: tuple(version)
+            for topic, version in started_proxy.subscriber.acknowledgements.in_force.items()
         }
         assert versions == {
             "config/pay": (1796000000000, 1),
@@ -90,12 +91,12 @@
             "config/sell": (1796000000000, 1),
             "boxes/sell": (1796000000000, 2),
         }
-        assert set(made.running.runtime.router.endpoints.servers) == {"10.0.5.1:80", "10.0.5.2:80"}
-        assert [await around.ask(path) for path in ("/pay", "/refund", "/sell", "/none")] == [
+        assert set(started_proxy.running.runtime.router.endpoints.servers) == {"10.0.5.1:80", "10.0.5.2:80"}
+        assert [await proxies.ask(path) for path in ("/pay", "/refund", "/sell", "/none")] == [
             200, 200, 200, 404,
         ]  # fmt: skip
 
-    run_scene(play)
+    run_scene(check)
 
 
 def subscribe_request() -> messages.SubscribeRequest:
@@ -170,7 +171,7 @@
         relay.apply(decoding.parse_topic_update(raw, store.as_of, WALL), store.as_of)
     subscriptions = Subscriptions(origin)
     session = subscriptions.subscribe("u", "a", {"boxes/pay": first, "config/pay": NO_VERSION}, 0.0)
-    found = {
+    encoded = {
         "update_snapshot": origin.encoded_update("config/pay", NO_VERSION, False),
         "update_history": origin.encoded_update("boxes/pay", NO_VERSION, True),
         "update_changes": origin.encoded_update("boxes/pay", first, False),
@@ -179,7 +180,7 @@
     }
     batch = subscriptions.next_batch("u", session, 100_000)
     assert batch is not None
-    found |= {"update_line": batch.line, "heartbeat": subscriptions.heartbeat("u", session)}
-    assert found == {name: WIRE[name].encode() for name in found}
+    encoded |= {"update_line": batch.line, "heartbeat": subscriptions.heartbeat("u", session)}
+    assert encoded == {name: WIRE[name].encode() for name in encoded}
     for name in ("update_snapshot", "update_history", "update_changes", "update_rebase"):
-        assert msgspec.json.encode(msgspec.json.decode(WIRE[name], type=TopicUpdate)) == found[name]
+        assert msgspec.json.encode(msgspec.json.decode(WIRE[name], type=TopicUpdate)) == encoded[name]
--- a/tests/distribution/test_subscriber_progress.py
+++ b/tests/distribution/test_subscriber_progress.py
@@ -45,76 +45,82 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.data())
-def test_lowest_version_is_what_a_plain_model_finds(data: st.DataObject) -> None:
+def test_lowest_version_matches_a_reference_model(data: st.DataObject) -> None:
     """The lowest version of a zone is at most the plain model's, and the same once all is reported.
 
     The plain model goes through all changes in their order, to the first that a subscriber has not in force.
     """
     scene = Scene(services=2)
-    everything: list[tuple[Version, set[str]]] = [(scene.topics.as_of, set(scene.names))]
-    followed = {"u": scene.names, "v": scene.names[:1], "w": scene.names[1:]}
-    for name, topics in followed.items():
+    all_changes: list[tuple[Version, set[str]]] = [(scene.topics.as_of, set(scene.names))]
+    topics_by_subscriber = {"u": scene.names, "v": scene.names[:1], "w": scene.names[1:]}
+    for name, topics in topics_by_subscriber.items():
         scene.join(name, topics=topics)
         scene.settle(name)
 
-    def plain() -> Version:
+    def model_lowest_version() -> Version:
         lowest = scene.topics.as_of
-        for name, topics in followed.items():
-            reached = NO_VERSION
-            for version, changed in everything:
-                told = scene.subscriptions.by_subscriber[name].in_force
-                if any(told[topic] < version for topic in changed & set(topics)):
+        for name, topics in topics_by_subscriber.items():
+            reached_version = NO_VERSION
+            for version, changed in all_changes:
+                reported = scene.subscriptions.by_subscriber[name].in_force
+                if any(reported[topic] < version for topic in changed & set(topics)):
                     break
-                reached = version
-            lowest = min(lowest, reached)
+                reached_version = version
+            lowest = min(lowest, reached_version)
         return lowest
 
     for _ in range(data.draw(st.integers(1, 25))):
         action = data.draw(st.sampled_from(["change", "change", "batch", "report", "rejoin"]))
-        who = data.draw(st.sampled_from(sorted(followed)))
+        subscriber_name = data.draw(st.sampled_from(sorted(topics_by_subscriber)))
         if action == "change":
             topics = data.draw(st.sets(st.sampled_from(scene.names), min_size=1, max_size=2))
-            everything.append((scene.change(*((t, "k", len(everything)) for t in sorted(topics))), topics))
+            all_changes.append((scene.change(*((t, "k", len(all_changes)) for t in sorted(topics))), topics))
         elif action == "batch":
-            scene.batch(who, 1)
+            scene.batch(subscriber_name, 1)
         elif action == "report":
-            scene.report(who)
+            scene.report(subscriber_name)
         else:
-            scene.join(who)
-        assert (scene.subscriptions.summary()["a"].lowest or NO_VERSION) <= plain()
-    for who in followed:
-        scene.settle(who)
-    assert scene.subscriptions.summary()["a"].lowest == plain() == scene.topics.as_of
+            scene.join(subscriber_name)
+        assert (scene.subscriptions.summary()["a"].lowest or NO_VERSION) <= model_lowest_version()
+    for subscriber_name in topics_by_subscriber:
+        scene.settle(subscriber_name)
+    assert scene.subscriptions.summary()["a"].lowest == model_lowest_version() == scene.topics.as_of
 
 
-def test_subscriber_that_rejects_a_version_is_named_and_not_waited_for() -> None:
+def test_subscriber_that_rejects_a_version_is_named_and_does_not_count_as_behind() -> None:
     scene = Scene()
     scene.join("u")
     scene.join("v")
     scene.settle("u", "v")
-    kept = scene.topics.as_of
-    bad = scene.change(("config/0", "k", "bad"))
+    previous_version = scene.topics.as_of
+    rejected_version = scene.change(("config/0", "k", "bad"))
     scene.settle("v")
     batch = scene.subscriptions.next_batch("u", scene.sessions["u"], 1000)
     assert batch is not None
     scene.receivers["u"].receive(batch.line, WALL)
-    scene.acknowledgements["u"].rejected("config/0", bad, "no such route: " + "x" * 500)
+    scene.acknowledgements["u"].rejected("config/0", rejected_version, "no such route: " + "x" * 500)
     scene.report("u")
-    found = scene.subscriptions.summary()["a"]
-    assert found.unusable_versions == (
-        UnusableVersion("u", "config/0", bad, ("no such route: " + "x" * 500)[:100]),
+    zone_summary = scene.subscriptions.summary()["a"]
+    assert zone_summary.unusable_versions == (
+        UnusableVersion("u", "config/0", rejected_version, ("no such route: " + "x" * 500)[:100]),
     )
-    assert (found.behind, found.unusable) == (0, 1), "it is not waited for"
-    assert (found.lowest, found.lowest_used) == (bad, kept)
+    assert (zone_summary.behind, zone_summary.unusable) == (0, 1), "it is not waited for"
+    assert (zone_summary.lowest, zone_summary.lowest_used) == (rejected_version, previous_version)
     # what it refused moves with it
     scene.join("u", now=1.0)
-    assert scene.subscriptions.summary()["a"] == found
+    assert scene.subscriptions.summary()["a"] == zone_summary
     # a newer one: behind again, until it is in force
-    good = scene.change(("config/0", "k", "good"))
-    found = scene.subscriptions.summary()["a"]
-    assert (found.behind, found.unusable, found.lowest) == (2, 0, bad) or found.lowest == kept
+    newest_version = scene.change(("config/0", "k", "good"))
+    zone_summary = scene.subscriptions.summary()["a"]
+    assert (zone_summary.behind, zone_summary.unusable, zone_summary.lowest) == (
+        2,
+        0,
+        rejected_version,
+    ) or zone_summary.lowest == previous_version
     scene.settle("u", "v")
-    assert scene.subscriptions.summary()["a"] == InForceSummary(subscribers=2, lowest=good, lowest_used=good)
+    assert scene.subscriptions.summary()["a"] == InForceSummary(
+        subscribers=2, lowest=newest_version, lowest_used=newest_version
+    )
 
 
 def test_disconnected_subscriber_is_counted_and_named_for_the_grace_period() -> None:
@@ -126,8 +132,13 @@
     scene.subscriptions.disconnect("v", scene.sessions["v"], 10.0)
     newest = scene.change(("config/0", "k", 1))
     scene.settle("u")
-    found = scene.subscriptions.summary()["a"]
-    assert (found.subscribers, found.disconnected, found.disconnected_names, found.lowest) == (
+    zone_summary = scene.subscriptions.summary()["a"]
+    assert (
+        zone_summary.subscribers,
+        zone_summary.disconnected,
+        zone_summary.disconnected_names,
+        zone_summary.lowest,
+    ) == (
         2,
         1,
         ("v",),
@@ -139,7 +150,7 @@
     }
 
 
-def test_gap_holds_up_only_subscribers_of_its_topic() -> None:
+def test_gap_lowers_the_version_of_subscribers_of_its_topic_only() -> None:
     relay = TopicStore([PAY, CONFIG])
     subscriptions = Subscriptions(relay)
     at = Version(EPOCH, 4)
@@ -163,7 +174,7 @@
     assert subscriptions.summary()["a"].lowest == (EPOCH, 9)
 
 
-def test_subscriber_that_moves_is_counted_at_its_version_at_once() -> None:
+def test_subscriber_that_changes_relays_is_counted_at_its_as_of_version_at_once() -> None:
     """Its topics are old, but were all there was as of much later: the new relay does not go back to them."""
     scene = Scene(services=2)
     scene.join("u", topics=["boxes/0", "config/0"])
@@ -171,12 +182,12 @@
     for number in range(5):
         scene.change(("boxes/1", "k", number + 1))
     scene.receivers["u"].receive(scene.subscriptions.heartbeat("u", scene.sessions["u"]) or b"", WALL)
-    asked = scene.acknowledgements["u"].subscribe_request(scene.receivers["u"].store)
-    assert asked.as_of == scene.topics.as_of and not asked.in_force
-    blank = Subscriptions(TopicStore(["boxes/0", "config/0"]))
-    blank.subscribe("u", "a", asked.held, 0.0, in_force=asked.in_force, as_of=asked.as_of)
-    blank.store.as_of = asked.as_of
-    assert blank.summary()["a"].lowest == asked.as_of
+    request = scene.acknowledgements["u"].subscribe_request(scene.receivers["u"].store)
+    assert request.as_of == scene.topics.as_of and not request.in_force
+    new_relay = Subscriptions(TopicStore(["boxes/0", "config/0"]))
+    new_relay.subscribe("u", "a", request.held, 0.0, in_force=request.in_force, as_of=request.as_of)
+    new_relay.store.as_of = request.as_of
+    assert new_relay.summary()["a"].lowest == request.as_of
 
 
 def test_names_beyond_the_limit_are_counted_only() -> None:
@@ -185,10 +196,12 @@
         scene.join(f"u-{number:02}")
         scene.settle(f"u-{number:02}")
     scene.change(("config/0", "k", 1))
-    found = scene.subscriptions.summary()["a"]
-    assert found.behind == 50 and [name for name, _ in found.behind_names] == [f"u-{n:02}" for n in range(20)]
-    both = merged([found, found])
-    assert both.behind == 100 and len(both.behind_names) == 20
+    zone_summary = scene.subscriptions.summary()["a"]
+    assert zone_summary.behind == 50 and [name for name, _ in zone_summary.behind_names] == [
+        f"u-{n:02}" for n in range(20)
+    ]
+    merged_summary = merged([zone_summary, zone_summary])
+    assert merged_summary.behind == 100 and len(merged_summary.behind_names) == 20
 
 
 def test_summary_computes_progress_of_unsettled_subscribers_only(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -197,20 +210,22 @@
         topics = scene.names[:2] if number else scene.names
         scene.join(f"u-{number}", zone=f"zone-{number % 3}", topics=topics)
         scene.settle(f"u-{number}")
-    looked: Counter[str] = Counter()
-    plain = Subscriptions.compute_progress
+    computation_counts: Counter[str] = Counter()
+    original_compute_progress = Subscriptions.compute_progress
 
-    def counted(subscriptions: Subscriptions, subscriber: Subscription) -> SubscriberProgress:
-        looked[subscriber.name] += 1
-        return plain(subscriptions, subscriber)
+    def count_computation(subscriptions: Subscriptions, subscriber: Subscription) -> SubscriberProgress:
+        computation_counts[subscriber.name] += 1
+        return original_compute_progress(subscriptions, subscriber)
 
-    monkeypatch.setattr(Subscriptions, "compute_progress", counted)
+    monkeypatch.setattr(Subscriptions, "compute_progress", count_computation)
     scene.subscriptions.summary()
-    assert not looked
+    assert not computation_counts
     scene.change(("config/1", "k", 1))
     for _ in range(5):
         scene.subscriptions.summary()
-    assert looked == {"u-0": 1}, "and once after each change of it"
+    assert computation_counts == {"u-0": 1}, "and once after each change of it"
     scene.change(("boxes/1", "k", 1))
     scene.settle("u-0")
-    assert scene.subscriptions.summary()["zone-0"].lowest == scene.topics.as_of and looked == {"u-0": 1}
+    assert scene.subscriptions.summary()["zone-0"].lowest == scene.topics.as_of and computation_counts == {
+        "u-0": 1
+    }
--- a/tests/distribution/test_subscriptions.py
+++ b/tests/distribution/test_subscriptions.py
@@ -19,7 +19,7 @@
 from tests.support.subscription_scene import CONFIG, EPOCH, PAY, Scene, entries_of, topic_update
 
 
-def test_subscriber_that_read_nothing_gets_only_the_newest() -> None:
+def test_subscriber_that_reads_nothing_gets_only_the_newest_versions() -> None:
     scene = Scene(services=2)
     scene.join("u")
     scene.settle("u")
@@ -38,20 +38,22 @@
             scene.settle(f"u-{number}")
     random = Random(35)
 
-    def churn(steps: int) -> None:
+    def change_topics(steps: int) -> None:
         for step in range(steps):
             name = scene.names[step % len(scene.names)]
-            passing = f"passing-{random.randrange(40)}"
-            scene.change((name, "k", step % 10), (name, passing, random.choice([None, 1])))
+            temporary_key = f"passing-{random.randrange(40)}"
+            scene.change((name, "k", step % 10), (name, temporary_key, random.choice([None, 1])))
 
     tracemalloc.start()  # before the first, as each change replaces what was there
-    held = []
+    allocated_bytes = []
     for _ in range(2):
-        churn(15_000)  # the first time to what is bounded: keys, tombstones
+        change_topics(15_000)  # the first time to what is bounded: keys, tombstones
         gc.collect()
-        held.append(tracemalloc.get_traced_memory()[0])
+        allocated_bytes.append(tracemalloc.get_traced_memory()[0])
     tracemalloc.stop()
-    assert held[1] - held[0] < 20_000, f"{held} bytes after 15,000 and 30,000 changes"
+    assert allocated_bytes[1] - allocated_bytes[0] < 20_000, (
+        f"{allocated_bytes} bytes after 15,000 and 30,000 changes"
+    )
     for subscriber in scene.subscriptions.by_subscriber.values():
         assert sum(map(len, subscriber.unsent)) <= 40 and len(subscriber.not_in_force) <= 40
 
@@ -72,18 +74,18 @@
     )
 
 
-def test_topics_take_turns_and_configuration_goes_first() -> None:
+def test_configuration_and_endpoints_alternate_and_configuration_goes_first() -> None:
     scene = Scene(services=4)
     scene.join("u")
     assert scene.batch("u", 1) == ["config/0"]
     scene.settle("u")
     scene.change(("boxes/0", "k", 1), ("boxes/1", "k", 1), ("boxes/2", "k", 1), ("config/3", "k", 1))
-    order = []
+    sent_topics = []
     for _ in range(8):  # boxes/0 and config/3 change all the time
-        order += scene.batch("u", 1)
-        scene.change(("boxes/0", "k", len(order) + 10), ("config/3", "k", len(order) + 10))
-    assert order[0] == "config/3"
-    assert {"boxes/1", "boxes/2"} <= set(order[:6]) and order.count("config/3") == 4
+        sent_topics += scene.batch("u", 1)
+        scene.change(("boxes/0", "k", len(sent_topics) + 10), ("config/3", "k", len(sent_topics) + 10))
+    assert sent_topics[0] == "config/3"
+    assert {"boxes/1", "boxes/2"} <= set(sent_topics[:6]) and sent_topics.count("config/3") == 4
 
 
 def test_new_stream_of_a_subscriber_ends_the_earlier_one() -> None:
@@ -164,7 +166,7 @@
     assert scene.batch("u") == ["boxes/0"] and entries_of(receiver.store, "boxes/0") == {"k": 1, "l": 1}
 
 
-def test_unused_topics_are_returned_once_after_a_while() -> None:
+def test_unused_topics_are_returned_once_after_the_timeout() -> None:
     scene = Scene(services=2, grace=5.0)
     scene.join("u", topics=["boxes/0"])
     scene.join("v", topics=["boxes/0", "boxes/1"])
@@ -177,7 +179,7 @@
     assert set(scene.subscriptions.by_topic) == {"boxes/0"}
 
 
-def test_subscribers_are_bounded() -> None:
+def test_subscriber_beyond_the_limit_is_refused() -> None:
     subscriptions = Subscriptions(TopicStore(epoch=EPOCH), max_subscribers=2)
     subscriptions.subscribe("u", "a", {}, 0.0)
     subscriptions.subscribe("v", "a", {}, 0.0)
@@ -186,7 +188,7 @@
     subscriptions.subscribe("v", "a", {}, 0.0)
 
 
-def test_late_repeated_or_foreign_acknowledgement_changes_nothing() -> None:
+def test_late_or_repeated_acknowledgement_or_one_of_an_unsubscribed_topic_changes_nothing() -> None:
     scene = Scene()
     scene.join("u", topics=["config/0"])
     scene.settle("u")
@@ -209,23 +211,23 @@
     for number in range(100):
         scene.join(f"u-{number}", topics=[f"boxes/{number % 50}", f"config/{number % 50}"])
         scene.settle(f"u-{number}")
-    looked: Counter[tuple[str, str]] = Counter()
-    plain = Subscriptions.refresh
+    refresh_counts: Counter[tuple[str, str]] = Counter()
+    original_refresh_topic = Subscriptions.refresh_topic
 
-    def counted(subscriptions: Subscriptions, subscriber: Subscription, topic: str) -> None:
-        looked[subscriber.name, topic] += 1
-        plain(subscriptions, subscriber, topic)
+    def count_refresh(subscriptions: Subscriptions, subscriber: Subscription, topic: str) -> None:
+        refresh_counts[subscriber.name, topic] += 1
+        original_refresh_topic(subscriptions, subscriber, topic)
 
-    monkeypatch.setattr(Subscriptions, "refresh", counted)
+    monkeypatch.setattr(Subscriptions, "refresh_topic", count_refresh)
     scene.change(("boxes/7", "k", 1), ("config/8", "k", 1))
-    endpoint_changes, config = "boxes/7", "config/8"
-    assert looked.keys() == {
-        ("u-7", endpoint_changes),
-        ("u-57", endpoint_changes),
-        ("u-8", config),
-        ("u-58", config),
+    endpoints_topic, config_topic = "boxes/7", "config/8"
+    assert refresh_counts.keys() == {
+        ("u-7", endpoints_topic),
+        ("u-57", endpoints_topic),
+        ("u-8", config_topic),
+        ("u-58", config_topic),
     }
-    assert set(looked.values()) == {1}
-    looked.clear()
+    assert set(refresh_counts.values()) == {1}
+    refresh_counts.clear()
     scene.settle("u-7")
-    assert looked == {("u-7", "boxes/7"): 1}
+    assert refresh_counts == {("u-7", "boxes/7"): 1}
