--- a/gullmount/distribution/__init__.py
+++ b/gullmount/distribution/__init__.py
@@ -1,5 +1,6 @@
-"""Endpoints and configuration, distributed to proxies by service as versioned changes.
+"""Distributes endpoints and configuration to proxies, by service and as versioned changes.
 
-An origin holds all topics; relays subscribe to it, and subscribers (proxies) to relays. Off unless a file
-switches it on; `run` knows nothing of it. docs/architecture.md says which modules do no I/O.
+An origin holds all topics. Relays subscribe to the origin, and subscribers (proxies) subscribe to relays.
+Distribution is off unless a file enables it, and `run` does not depend on it. docs/architecture.md lists the
+modules that perform no I/O.
 """
--- a/gullmount/distribution/log_events.py
+++ b/gullmount/distribution/log_events.py
@@ -1,4 +1,8 @@
-"""The events that distribution logs: stable names to search for. docs/operators/relays.md says what to do."""
+"""Defines the names of the log events of distribution.
+
+The names are stable, so that logs can be searched for them. docs/operators/relays.md describes what to do
+about each event.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +10,10 @@
 
 
 class LogEvent(StrEnum):
-    """Names of log events, of a subscriber, a proxy, a server, a relay, an origin, and any process."""
+    """Names of log events.
+
+    The groups are, in order: subscriber, proxy, server, relay, origin, and any process.
+    """
 
     SUBSCRIBED = "subscribed"
     LEAVING_RELAY = "leaving_relay"
--- a/gullmount/distribution/remembered_state.py
+++ b/gullmount/distribution/remembered_state.py
@@ -1,4 +1,7 @@
-"""What a proxy remembers of its subscription for its next process: what was in force, by topic. No I/O."""
+"""Encodes and decodes the topics in force that a proxy stores for its next process.
+
+The module performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -11,24 +14,24 @@
 
 
 class StoredTopic(msgspec.Struct):
-    """A topic as it is remembered."""
+    """The stored version and entries of a topic."""
 
     version: Version
     entries: dict[str, Any]
 
 
 class StoredTopics(msgspec.Struct):
-    """The file of what was in force."""
+    """The state file, with the topics that were in force."""
 
     v: int
     topics: dict[str, StoredTopic]
 
 
 def encode_topics(topics: dict[str, StoredTopic]) -> bytes:
-    """The file's content."""
+    """Encodes the content of the state file."""
     return msgspec.json.encode(StoredTopics(MESSAGE_VERSION, topics))
 
 
 def decode_topics(data: bytes) -> dict[str, StoredTopic]:
-    """The topics of a file's content. Raises NotUnderstood."""
+    """Decodes the content of the state file. Raises InvalidMessageError if it is malformed."""
     return convert(check_fields(decode_message(data), {"topics": dict})["topics"], dict[str, StoredTopic])
--- a/gullmount/distribution/subscriber_progress.py
+++ b/gullmount/distribution/subscriber_progress.py
@@ -1,6 +1,6 @@
-"""Up to which version everything is in force at a subscriber, and a zone's summary of that.
+"""Computes up to which version everything is in force at a subscriber, and summarizes this by zone.
 
-No I/O, clock or randomness.
+The module performs no I/O and uses neither a clock nor randomness.
 """
 
 from __future__ import annotations
@@ -20,13 +20,20 @@
 
 
 def rejects_newest(subscription: Subscription, topic: str, store: TopicStore) -> bool:
-    """Whether the subscriber can't use the newest version of the topic."""
+    """Returns whether the subscriber rejected the newest version of the topic."""
     rejection = subscription.rejections.get(topic)
     return rejection is not None and rejection.version >= store.version(topic) > NO_VERSION
 
 
 def in_force_up_to(subscription: Subscription, topic: str, version: Version, store: TopicStore) -> Version:
-    """Up to which version all of a topic is in force, where `version` of it is and a newer one exists."""
+    """Returns the version up to which all changes of a topic are in force.
+
+    Args:
+        subscription: Subscription to the topic.
+        topic: Topic to examine. Its newest version is not in force, or the store has a gap in it.
+        version: Version of the topic that counts as in force.
+        store: Store that holds the topic.
+    """
     log = store.logs.get(topic)
     gap = store.gaps.get(topic)
     if log is not None and version < log.version:
@@ -39,7 +46,10 @@
 
 
 def compute_subscriber_progress(subscription: Subscription, store: TopicStore) -> SubscriberProgress:
-    """The subscriber's progress; topics that it never had count as starting, not for the versions."""
+    """Computes the progress of a subscriber.
+
+    Topics that the subscriber never received set `is_starting` and don't affect the versions.
+    """
     rejected = {topic for topic in subscription.rejections if rejects_newest(subscription, topic, store)}
     lowest: Version | None = None
     lowest_used: Version | None = None
@@ -65,7 +75,14 @@
     progress: Callable[[Subscription], SubscriberProgress],
     as_of: Version,
 ) -> InForceSummary:
-    """The summary of a zone's `count` subscribers; all but the `unsettled` have everything in force."""
+    """Summarizes the subscribers of a zone.
+
+    Args:
+        count: Number of subscribers in the zone.
+        unsettled: Subscriptions to examine. All other subscribers have everything in force.
+        progress: Returns the progress of a subscription.
+        as_of: Version up to which the store is current.
+    """
     lowest, lowest_used = as_of, as_of
     starting = unusable = 0
     behind: list[LaggingSubscriber] = []
--- a/gullmount/distribution/subscription.py
+++ b/gullmount/distribution/subscription.py
@@ -1,6 +1,7 @@
-"""What a relay or the origin knows of one subscriber: versions by topic, never a queue of updates.
+"""Holds the state that a relay or the origin keeps for one subscriber.
 
-No I/O, clock or randomness. Whatever changes while a subscriber reads nothing, nothing here grows.
+The state consists of versions by topic and never of queued updates. It therefore doesn't grow while topics
+change and the subscriber reads nothing. The module performs no I/O and uses neither a clock nor randomness.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class Rejection(NamedTuple):
-    """A version of a topic that a subscriber can't use, as it is on the wire, and why."""
+    """A version of a topic that a subscriber cannot use, with the reason. Also the format on the wire."""
 
     epoch: int
     revision: int
@@ -22,27 +23,30 @@
 
     @property
     def version(self) -> Version:
-        """The version that was rejected."""
+        """The rejected version."""
         return Version(self.epoch, self.revision)
 
 
 class SubscriberProgress(NamedTuple):
-    """A subscriber's part of a summary, from its topics whose newest version is not in force there."""
+    """The contribution of one subscriber to a summary.
+
+    It is computed from the topics whose newest version is not in force at the subscriber.
+    """
 
     lowest: Version | None
-    """Up to where everything is in force; what it rejected counts as done. None: nothing is missing."""
+    """The version up to which everything is in force or rejected, or None if nothing is missing."""
     lowest_used: Version | None
-    """The same, with what it rejected as not in force."""
+    """Like `lowest`, but rejected versions count as not in force."""
     is_starting: bool
-    """It has not received all its topics once."""
+    """Whether some topic has not been received for the first time yet."""
     is_behind: bool
-    """Something that it did not reject is not in force yet."""
+    """Whether some version that was not rejected is not in force yet."""
     rejects_newest: bool
-    """It rejected the newest version of a topic."""
+    """Whether the newest version of some topic was rejected."""
 
 
 class Subscription:
-    """One subscriber. Lives from its first stream until a grace period after its last."""
+    """State of one subscriber, kept from its first stream until a grace period after its last."""
 
     __slots__ = (
         "complete_as_of",
@@ -63,46 +67,60 @@
     )
 
     def __init__(self, name: str, zone: str, session: int, with_history: bool) -> None:
-        """A subscriber without topics; `with_history` for a relay."""
+        """Creates a subscription without topics.
+
+        Args:
+            name: Name of the subscriber.
+            zone: Zone of the subscriber.
+            session: Number of the current stream.
+            with_history: Whether updates include history. Set for relays.
+        """
         self.name = name
         self.zone = zone
         self.session = session
         self.with_history = with_history
         self.disconnected_at: float | None = None
-        self.sent: dict[str, Version] = {}  # by topic, as all dicts here
+        # All dicts are keyed by topic.
+        self.sent: dict[str, Version] = {}
         self.in_force: dict[str, Version] = {}
-        self.complete_as_of: dict[str, Version] = {}  # when it subscribed: what it held was all up to there
-        self.first_sent: dict[str, Version] = {}  # of topics of which nothing is known to be in force
-        self.unsent: tuple[dict[str, None], dict[str, None]] = {}, {}  # configuration; endpoints
+        # Version up to which the topic was complete at the subscriber when it subscribed.
+        self.complete_as_of: dict[str, Version] = {}
+        # First version sent of each topic that has no version known to be in force.
+        self.first_sent: dict[str, Version] = {}
+        # Unsent configuration topics and unsent endpoint topics, in this order.
+        self.unsent: tuple[dict[str, None], dict[str, None]] = {}, {}
         self.next_queue = CONFIGURATION_QUEUE
-        self.not_in_force: dict[str, None] = {}  # topics whose newest version is not in force there
-        self.unknown_topics: set[str] = set()  # subscribed topics that are not held here yet
+        # Topics whose newest version is not in force at the subscriber.
+        self.not_in_force: dict[str, None] = {}
+        # Subscribed topics that the store does not hold yet.
+        self.unknown_topics: set[str] = set()
         self.rejections: dict[str, Rejection] = {}
-        self.progress: SubscriberProgress | None = None  # None: to be computed again
+        # Cached progress, or None if it must be recomputed.
+        self.progress: SubscriberProgress | None = None
 
     def includes(self, topic: str) -> bool:
-        """Whether it subscribes to the topic."""
+        """Returns whether the subscription includes the topic."""
         return topic in self.sent
 
     def has_unsent(self) -> bool:
-        """Whether there is something to send."""
+        """Returns whether any topic is unsent."""
         return bool(self.unsent[CONFIGURATION_QUEUE] or self.unsent[ENDPOINT_QUEUE])
 
     def mark_unsent(self, topic: str) -> None:
-        """Note that the topic's newest version is to be sent."""
+        """Marks the newest version of the topic as unsent."""
         is_configuration = topic.startswith(CONFIGURATION_PREFIX)
         self.unsent[CONFIGURATION_QUEUE if is_configuration else ENDPOINT_QUEUE].setdefault(topic)
 
     def mark_sent(self, topic: str) -> None:
-        """Note that there is nothing to send of the topic."""
+        """Marks the topic as having nothing to send."""
         for topics in self.unsent:
             topics.pop(topic, None)
 
     def next_topic(self) -> str | None:
-        """The topic to send next; None if there is none.
+        """Returns the topic to send next, or None if nothing is unsent.
 
-        Configuration and endpoints take turns, so that neither waits for all of the other: a lost zone's
-        endpoints must not hold up a configuration change.
+        Configuration and endpoint topics alternate, so that neither waits for all of the other. For example,
+        the endpoint changes of a lost zone must not delay a configuration change.
         """
         for topics in (self.unsent[self.next_queue], self.unsent[1 - self.next_queue]):
             if topics:
@@ -110,7 +128,7 @@
         return None
 
     def remove_topic(self, topic: str) -> None:
-        """Forget all that is known of the topic."""
+        """Discards all state of the topic."""
         for versions in (self.sent, self.in_force, self.complete_as_of, self.first_sent):
             versions.pop(topic, None)
         self.not_in_force.pop(topic, None)
--- a/gullmount/distribution/subscriptions.py
+++ b/gullmount/distribution/subscriptions.py
@@ -1,7 +1,7 @@
-"""The subscribers of a relay or the origin: what each was sent, has in force and is still to be sent.
+"""Tracks, for each subscriber of a relay or the origin, what was sent, what is in force and what is unsent.
 
-No I/O, clock or randomness: times, in seconds of one clock, are handed in. What a subscriber is sent next is
-always the newest version of each topic that changed.
+The next batch for a subscriber always carries the newest version of each topic that changed. The module
+performs no I/O and uses neither a clock nor randomness. Callers pass times in seconds of a single clock.
 """
 
 from __future__ import annotations
@@ -24,22 +24,25 @@
 from gullmount.distribution.versions import NO_VERSION, Version
 
 MAX_SUBSCRIBERS = 10_000
-DISCONNECT_GRACE_SECONDS = 5.0  # for which a subscriber counts after its stream ended: most reconnect within
-UNUSED_TOPIC_TIMEOUT_SECONDS = 60.0  # without subscribers, after which a topic is dropped
+# A subscriber still counts for this long after its stream ended. Most subscribers reconnect within it.
+DISCONNECT_GRACE_SECONDS = 5.0
+# A topic is dropped after this long without subscribers.
+UNUSED_TOPIC_TIMEOUT_SECONDS = 60.0
 
 
 @dataclass(frozen=True)
 class Batch:
-    """One line for one subscriber, and how many topics are in it."""
+    """An encoded line for one subscriber, and the number of topics in it."""
 
     line: bytes
     topics: int
 
 
 class Subscriptions:
-    """The subscribers of the topics in `store`, which others change; `topics_changed` hears of each change.
+    """Manages the subscriptions to the topics of a store.
 
-    A session is the number of one stream of a subscriber: calls for an earlier stream change nothing.
+    The caller changes the store and reports each change with `topics_changed`. Each stream of a subscriber
+    has a session number. Calls with the session of an earlier stream change nothing.
     """
 
     def __init__(
@@ -49,19 +52,29 @@
         max_subscribers: int = MAX_SUBSCRIBERS,
         grace_seconds: float = DISCONNECT_GRACE_SECONDS,
     ) -> None:
-        """Start without subscribers."""
+        """Creates an instance without subscribers.
+
+        Args:
+            store: Holds the topics.
+            max_subscribers: Limit above which `subscribe` refuses new names.
+            grace_seconds: How long a disconnected subscriber is kept.
+        """
         self.store = store
         self.max_subscribers = max_subscribers
         self.grace_seconds = grace_seconds
         self.by_subscriber: dict[str, Subscription] = {}
         self.by_topic: dict[str, dict[str, Subscription]] = {}
-        self.unsettled: dict[str, Subscription] = {}  # a summary must look at these one by one
+        # Subscriptions that are disconnected, lack a newest version or have rejections. A summary reads
+        # each of these; all others have everything in force.
+        self.unsettled: dict[str, Subscription] = {}
         self.count_by_zone: dict[str, int] = {}
-        self.disconnected: dict[str, float] = {}  # since when by name, the longest first
-        self.unused_topics: dict[str, float] = {}  # since when, the longest first
+        # Time of disconnection by subscriber name, earliest first.
+        self.disconnected: dict[str, float] = {}
+        # Time of the last unsubscription by topic, earliest first.
+        self.unused_topics: dict[str, float] = {}
         self.last_session = 0
 
-    # Who subscribes to what
+    # Subscribing and unsubscribing
 
     def subscribe(
         self,
@@ -75,11 +88,22 @@
         as_of: Version = NO_VERSION,
         with_history: bool = False,
     ) -> int:
-        """Begin a subscriber's stream; returns its session. What was known of the subscriber is dropped.
-
-        `held`: the versions that it holds, which are in force except where `in_force` says what is;
-        `as_of`: the version up to which these were everything. Whoever serves an earlier stream of the
-        subscriber is to end it. Raises TooManySubscribersError.
+        """Begins a stream of a subscriber, discards its earlier state and returns the new session.
+
+        The server of an earlier stream of the subscriber must end that stream.
+
+        Args:
+            name: Name of the subscriber.
+            zone: Zone of the subscriber.
+            held: Version held of each topic. It is in force unless `in_force` gives another version.
+            now: Current time in seconds.
+            in_force: Version in force of each topic where it differs from the one held.
+            rejections: Versions that the subscriber cannot use.
+            as_of: Version up to which the held versions were complete.
+            with_history: Whether updates include history, which relays need.
+
+        Raises:
+            TooManySubscribersError: The name is new and the limit is reached.
         """
         if name not in self.by_subscriber and len(self.by_subscriber) >= self.max_subscribers:
             raise TooManySubscribersError(self.max_subscribers)
@@ -94,7 +118,10 @@
         return subscription.session
 
     def add_topics(self, name: str, session: int, held: Mapping[str, Version]) -> bool:
-        """Subscribe to more topics, or request some again (NO_VERSION). False: there is no such stream."""
+        """Adds topics to a subscription, or requests topics again if they are held at NO_VERSION.
+
+        Returns False if the session has no active stream.
+        """
         subscription = self.active_subscription(name, session)
         if subscription is None:
             return False
@@ -103,7 +130,7 @@
         return True
 
     def remove_topics(self, name: str, session: int, topics: Iterable[str], now: float) -> bool:
-        """Unsubscribe from topics. False: there is no such stream."""
+        """Unsubscribes from topics. Returns False if the session has no active stream."""
         subscription = self.active_subscription(name, session)
         if subscription is None:
             return False
@@ -114,19 +141,20 @@
         return True
 
     def disconnect(self, name: str, session: int, now: float) -> None:
-        """Note that a stream ended; it is not the subscriber's current one if it has begun another."""
+        """Records the end of a stream. Does nothing if the subscriber has begun a later stream."""
         subscription = self.active_subscription(name, session)
         if subscription is None:
             return
         subscription.disconnected_at = now
-        subscription.first_sent.clear()  # whether it received that is not known
+        # It is unknown whether the subscriber received these versions.
+        subscription.first_sent.clear()
         for topics in subscription.unsent:
             topics.clear()
         self.disconnected[name] = now
         self.progress_changed(subscription)
 
     def expire(self, now: float) -> list[str]:
-        """Remove subscribers that were disconnected for longer than the grace period; their names."""
+        """Removes subscribers disconnected for at least the grace period and returns their names."""
         expired: list[str] = []
         for name, since in self.disconnected.items():
             if now - since < self.grace_seconds:
@@ -137,7 +165,7 @@
         return expired
 
     def take_unused_topics(self, now: float) -> list[str]:
-        """Topics that nobody has subscribed to for a while; each is returned once."""
+        """Returns topics without subscribers for UNUSED_TOPIC_TIMEOUT_SECONDS, each of them once."""
         unused: list[str] = []
         for topic, since in self.unused_topics.items():
             if now - since < UNUSED_TOPIC_TIMEOUT_SECONDS:
@@ -148,7 +176,7 @@
         return unused
 
     def active_subscription(self, name: str, session: int) -> Subscription | None:
-        """The subscription whose stream has this session, if that has not ended."""
+        """Returns the subscription whose active stream has this session, or None."""
         subscription = self.by_subscriber.get(name)
         if subscription is None or subscription.session != session:
             return None
@@ -161,21 +189,23 @@
         in_force: Mapping[str, Version],
         as_of: Version,
     ) -> None:
-        """Add topics to a subscription, with the versions that the subscriber holds and has in force."""
+        """Adds topics to a subscription with the versions that the subscriber holds and has in force."""
         for topic, version in held.items():
-            known = subscription.in_force.get(topic, NO_VERSION)  # in force still if requested again
+            # A topic that is requested again keeps its version in force.
+            known = subscription.in_force.get(topic, NO_VERSION)
             subscription.sent[topic] = version
             subscription.in_force[topic] = max(known, in_force.get(topic, version))
             if as_of > version and subscription.in_force[topic] == version:
                 subscription.complete_as_of[topic] = as_of
             if subscription.in_force[topic] == NO_VERSION != version:
-                subscription.first_sent.setdefault(topic, version)  # it is about to apply it
+                # The subscriber holds this version and is about to apply it.
+                subscription.first_sent.setdefault(topic, version)
             self.by_topic.setdefault(topic, {})[subscription.name] = subscription
             self.unused_topics.pop(topic, None)
             self.refresh_topic(subscription, topic)
 
     def refresh_topic(self, subscription: Subscription, topic: str) -> None:
-        """Find out what is to be sent and what is not in force, after either side changed."""
+        """Updates whether a topic is unsent and in force after the store or the subscriber changed."""
         log = self.store.logs.get(topic)
         if log is None:
             subscription.unknown_topics.add(topic)
@@ -192,7 +222,7 @@
             subscription.not_in_force.pop(topic, None)
 
     def remove(self, name: str, now: float) -> None:
-        """Remove a subscriber, if there is one of the name."""
+        """Removes a subscriber. Does nothing if the name is unknown."""
         subscription = self.by_subscriber.pop(name, None)
         if subscription is None:
             return
@@ -205,7 +235,7 @@
             del self.count_by_zone[subscription.zone]
 
     def remove_subscription_topic(self, subscription: Subscription, topic: str, now: float) -> None:
-        """Remove one topic from a subscription."""
+        """Removes a topic from a subscription and marks it unused if no subscriber is left."""
         subscription.remove_topic(topic)
         others = self.by_topic[topic]
         del others[subscription.name]
@@ -213,13 +243,13 @@
             del self.by_topic[topic]
             self.unused_topics[topic] = now
 
-    # What is sent
+    # Sending
 
     def topics_changed(self, *topics: str) -> list[str]:
-        """Topics have new versions, or gaps: the names of subscribers for which there is something to send.
+        """Marks topics with a new version or a gap, and returns the subscribers that have updates to send.
 
-        All topics of one change or message at once, before anything more is sent: a line says that up to its
-        `as_of` all was sent, which holds only once all that changed is marked.
+        Callers pass all topics of one change or message at once, before they send another line. Each line
+        states that everything up to its `as_of` was sent, which holds only once all changes are marked.
         """
         waiting: dict[str, None] = {}
         for topic in topics:
@@ -231,9 +261,11 @@
         return list(waiting)
 
     def next_batch(self, name: str, session: int, max_bytes: int) -> Batch | None:
-        """The newest of each topic to be sent, as many as fit and one at least; None if there is none.
+        """Returns the next batch of unsent topics, or None if there is none.
 
-        They count as sent: a stream that breaks then is begun again with what was received.
+        A batch holds the newest versions of as many topics as fit into `max_bytes`, and at least one. Its
+        topics count as sent. After a broken stream, the subscriber begins a new stream with the versions
+        that it received.
         """
         subscription = self.active_subscription(name, session)
         if subscription is None:
@@ -255,7 +287,7 @@
         return Batch(line, len(updates))
 
     def record_sent(self, subscription: Subscription, topic: str) -> None:
-        """The topic's newest version is in a batch."""
+        """Records that a batch contains the newest version of a topic."""
         is_configuration = topic in subscription.unsent[CONFIGURATION_QUEUE]
         subscription.next_queue = ENDPOINT_QUEUE if is_configuration else CONFIGURATION_QUEUE
         subscription.mark_sent(topic)
@@ -265,13 +297,17 @@
             subscription.progress = None
 
     def encoded_update(self, subscription: Subscription, topic: str) -> bytes:
-        """The update that brings the subscriber from what it was sent to the newest version."""
+        """Encodes the update of a topic from the version last sent to the newest one."""
         return self.store.encoded_update(topic, subscription.sent[topic], subscription.with_history)
 
     def heartbeat(self, name: str, session: int, origin_silent_seconds: float = 0.0) -> bytes | None:
-        """A line without updates; None if the stream has ended.
+        """Encodes a line without updates. Returns None if the stream has ended.
 
-        `origin_silent_seconds`: at a relay, since when the origin was not heard, where that is to be said.
+        Args:
+            name: Name of the subscriber.
+            session: Session of the stream.
+            origin_silent_seconds: At a relay, seconds since the last message of the origin, if the line is
+                to report them.
         """
         subscription = self.active_subscription(name, session)
         if subscription is None:
@@ -284,7 +320,7 @@
         )
 
     def complete_version(self, subscription: Subscription) -> Version:
-        """Up to which version the subscriber's topics are complete here."""
+        """Returns the version up to which the subscribed topics are complete in the store."""
         complete = self.store.as_of
         for topic, version in self.store.gaps.items():
             if subscription.includes(topic):
@@ -292,25 +328,25 @@
         return complete
 
     def has_more(self, subscription: Subscription) -> bool:
-        """Whether not all that the subscriber asked for was sent yet."""
+        """Returns whether any requested topic is unsent or not yet known to the store."""
         return subscription.has_unsent() or bool(subscription.unknown_topics)
 
     def next_batch_bytes(self, name: str, session: int) -> int:
-        """Size of the smallest next batch in bytes; 0 if nothing is to be sent."""
+        """Returns the size in bytes of the smallest possible next batch, or 0 if nothing is unsent."""
         subscription = self.active_subscription(name, session)
         topic = subscription.next_topic() if subscription is not None else None
         if subscription is None or topic is None:
             return 0
         return LINE_FRAME_BYTES + len(self.encoded_update(subscription, topic))
 
-    # What is in force
+    # Acknowledgements and progress
 
     def acknowledge(
         self, name: str, in_force: Mapping[str, Version], rejections: Mapping[str, Rejection]
     ) -> bool:
-        """Note what a subscriber has applied since its last report, and what it can't use.
+        """Records the versions that a subscriber applied or rejected since its last report.
 
-        An earlier report that comes late changes nothing. False for a subscriber that is not known.
+        An earlier report that arrives late changes nothing. Returns False if the subscriber is unknown.
         """
         subscription = self.by_subscriber.get(name)
         if subscription is None:
@@ -323,7 +359,7 @@
         return True
 
     def record_in_force(self, subscription: Subscription, topic: str, version: Version) -> None:
-        """A newer version of the topic is in force at the subscriber."""
+        """Records that a newer version of a topic is in force at the subscriber."""
         subscription.in_force[topic] = version
         subscription.complete_as_of.pop(topic, None)
         subscription.first_sent.pop(topic, None)
@@ -333,7 +369,7 @@
         self.refresh_topic(subscription, topic)
 
     def record_rejections(self, subscription: Subscription, rejections: Mapping[str, Rejection]) -> None:
-        """Note versions that the subscriber can't use, unless a newer one is in force or rejected."""
+        """Records rejected versions that are newer than those in force and not older than earlier rejections."""
         for topic, rejection in rejections.items():
             version = rejection.version
             if not subscription.includes(topic) or version <= subscription.in_force[topic]:
@@ -344,7 +380,7 @@
                 subscription.rejections[topic] = Rejection(*version, reason)
 
     def progress_changed(self, subscription: Subscription) -> None:
-        """Something of the subscription changed: its progress is to be computed again."""
+        """Discards the cached progress of a changed subscription and updates `unsettled`."""
         subscription.progress = None
         is_settled = (
             not subscription.not_in_force
@@ -357,17 +393,17 @@
             self.unsettled[subscription.name] = subscription
 
     def progress(self, subscription: Subscription) -> SubscriberProgress:
-        """The subscriber's progress, computed again only after something of it changed."""
+        """Returns the progress of a subscriber, which is cached until the subscription changes."""
         if subscription.progress is None:
             subscription.progress = self.compute_progress(subscription)
         return subscription.progress
 
     def compute_progress(self, subscription: Subscription) -> SubscriberProgress:
-        """The subscriber's progress from its topics."""
+        """Computes the progress of a subscriber from its topics."""
         return compute_subscriber_progress(subscription, self.store)
 
     def summary(self) -> dict[str, InForceSummary]:
-        """What is in force by zone, from the unsettled subscriptions only."""
+        """Summarizes by zone what is in force. Only unsettled subscriptions are read one by one."""
         by_zone: dict[str, list[Subscription]] = {zone: [] for zone in self.count_by_zone}
         for subscription in self.unsettled.values():
             by_zone[subscription.zone].append(subscription)
