--- a/gullmount/distribution/errors.py
+++ b/gullmount/distribution/errors.py
@@ -1,4 +1,7 @@
-"""The errors of distribution. Each makes its text from its fields and says which side is at fault."""
+"""Defines the errors of distribution.
+
+Each error builds its text from its fields. Its docstring states which side is at fault.
+"""
 
 from __future__ import annotations
 
@@ -8,17 +11,20 @@
 from gullmount.errors import GullmountError
 from gullmount.rpc.errors import InvalidMessageError
 
-MAX_REPORTED_KEY_CHARACTERS = 40  # of an unknown key that is reported
+# An unknown key is cut to this length in error messages.
+MAX_REPORTED_KEY_CHARACTERS = 40
 
 
 class DistributionError(GullmountError):
-    """Base of all errors of distribution."""
+    """Base class of all errors of distribution."""
 
 
 class MalformedMessageError(DistributionError, InvalidMessageError):
-    """The sender's fault: a message does not follow docs/protocols.md.
+    """A message does not follow docs/protocols.md. The sender is at fault.
 
-    `part` names the field or the struct, `problem` says what is wrong with it; neither holds a body.
+    Attributes:
+        part: Name of the field or struct, never a message body.
+        problem: What is wrong with it, never a message body.
     """
 
     def __init__(self, part: str, problem: str = "") -> None:
@@ -28,7 +34,10 @@
 
 
 class TopicTooLargeError(DistributionError):
-    """The fault of who sent the change: it would make a topic larger than allowed. Nothing was changed."""
+    """A change would make a topic larger than allowed. The sender of the change is at fault.
+
+    Nothing was changed.
+    """
 
     def __init__(self, topic: str, size_bytes: int, limit_bytes: int) -> None:
         self.topic = topic
@@ -38,7 +47,7 @@
 
 
 class IncompleteTopicError(DistributionError):
-    """The fault of who sent the change: the origin doesn't have all entries of the topic yet."""
+    """The origin does not have all entries of the topic yet. The sender of the change is at fault."""
 
     def __init__(self, topic: str) -> None:
         self.topic = topic
@@ -46,25 +55,25 @@
 
 
 class UnavailableError(DistributionError):
-    """Nobody's fault: a subscriber can't be served now, and may come back."""
+    """A subscriber cannot be served now and may retry later. Neither side is at fault."""
 
 
 class OriginNotReachedError(UnavailableError):
-    """A relay has heard nothing from the origin yet, so that it has nothing to send."""
+    """A relay has received nothing from the origin yet and therefore has nothing to send."""
 
     def __init__(self) -> None:
         super().__init__("the origin was not reached yet")
 
 
 class RefreshInProgressError(UnavailableError):
-    """A relay was paused and checks with the origin that what it holds is current."""
+    """A relay was paused and is checking with the origin whether its state is current."""
 
     def __init__(self) -> None:
         super().__init__("the relay checks with the origin whether its state is current")
 
 
 class TooManySubscribersError(UnavailableError):
-    """As many subscribers as allowed are subscribed already."""
+    """The limit of subscribers is reached."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -72,7 +81,7 @@
 
 
 class TooManyTopicsError(UnavailableError):
-    """The subscribers of a relay ask for more topics together than it may hold."""
+    """The subscribers of a relay together request more topics than it may hold."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -80,9 +89,10 @@
 
 
 class UnusableUpdateError(DistributionError):
-    """The fault of who sent the change to the origin: a proxy can't put it in force.
+    """A proxy cannot put an update in force. The sender of the change to the origin is at fault.
 
-    `reason` is reported to the origin: a few words, without the body.
+    Attributes:
+        reason: A few words that are reported to the origin, without the body.
     """
 
     def __init__(self, reason: str) -> None:
@@ -91,35 +101,38 @@
 
 
 class UnknownKeyError(UnusableUpdateError):
-    """A configuration has a key that is not known."""
+    """A configuration has an unknown key."""
 
     def __init__(self, key: str) -> None:
         super().__init__(f"unknown key {key[:MAX_REPORTED_KEY_CHARACTERS]}")
 
 
 class RoutesNotAListError(UnusableUpdateError):
-    """A configuration's routes are no list."""
+    """The routes of a configuration are not a list."""
 
     def __init__(self) -> None:
         super().__init__("expected a mapping with the one key routes, a list")
 
 
 class RouteCountError(UnusableUpdateError):
-    """A configuration has no routes, or too many."""
+    """A configuration has no routes or too many."""
 
     def __init__(self, count: int, limit: int) -> None:
         super().__init__(f"routes: {count} of them, expected 1 to {limit}")
 
 
 class DuplicateRouteError(UnusableUpdateError):
-    """A route's name is there twice, or is another service's."""
+    """A route name occurs twice or belongs to another service."""
 
     def __init__(self, route: str) -> None:
         super().__init__(f"route named twice: {route}")
 
 
 class StateFileDamagedError(DistributionError):
-    """The operator's to repair: without the origin's state file, an epoch could be used a second time."""
+    """The state file of the origin is damaged. The operator must repair it.
+
+    Without the state file, an epoch could be used a second time.
+    """
 
     def __init__(self, path: Path, problem: str) -> None:
         self.path = path
@@ -128,7 +141,10 @@
 
 
 class ChangeLogUnusableError(OSError, DistributionError):
-    """The disk's fault: an earlier write failed and could not be undone, so that half a line may be there."""
+    """An earlier write to the change log failed and could not be undone. The disk is at fault.
+
+    The change log may end in a partial line.
+    """
 
     def __init__(self, path: Path) -> None:
         super().__init__(errno.EIO, "an earlier write to the change log failed", str(path))
--- a/gullmount/distribution/origin.py
+++ b/gullmount/distribution/origin.py
@@ -1,8 +1,8 @@
-"""The origin: holds all topics, counts their changes, and sends them to relays.
+"""Implements the origin, which holds all topics, numbers their changes and sends them to relays.
 
-A change is stored, then counted, then sent. An origin that does not know its state, as it remembers none or
-its file is empty, sends nothing of a topic until it has received all of it: half a list must not pass for
-everything.
+A change is first stored, then numbered with a revision, then sent. An origin may start without knowing its
+state, because it stores none or its file is empty. It then sends nothing of a topic until it has received
+the complete topic, because a partial list must not be taken for a complete one.
 """
 
 from __future__ import annotations
@@ -41,12 +41,16 @@
 from gullmount.net import StreamNet
 from gullmount.rpc import Request, Response
 
-HEARTBEAT_SECONDS = 1.0  # relays' as_of goes by these lines
+# Relays advance their as_of with the heartbeat lines.
+HEARTBEAT_SECONDS = 1.0
 MAX_CHANGES_BODY_BYTES = 16 << 20
 
 
 class Origin(SubscriberServer):
-    """Run it in a task; `commit` once it has loaded."""
+    """Server that holds all topics and sends their changes to relays.
+
+    `run` loads the state and serves relays. Call `commit` only after the `loaded` event is set.
+    """
 
     def __init__(
         self,
@@ -58,9 +62,15 @@
         clock: Callable[[], float] = anyio.current_time,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        """The origin of `config`.
+        """Create an origin that is not running yet.
 
-        `clock`: seconds, monotonic; `wall`: seconds of the wall clock, for epochs and start times.
+        Args:
+            config: Address, relays, zones and limits.
+            network: Network to listen on.
+            storage: Stores the epoch and the state.
+            log: Receives log events.
+            clock: Returns monotonic time in seconds.
+            wall: Returns the wall clock in seconds, used for epochs and start times.
         """
         self.config = config
         self.network = network
@@ -77,19 +87,21 @@
             wall=wall,
         )
         self.relay_summaries = RelaySummaries()
-        self.all_known = False  # whether a topic that is not held is empty; else it is not known
+        # If true, a topic that is not held is empty. Otherwise its content is unknown.
+        self.all_known = False
         self.loaded = anyio.Event()
-        self.commit_lock = anyio.Lock()  # changes are on the disk in the order of their revisions
+        # Keeps changes on disk in the order of their revisions.
+        self.commit_lock = anyio.Lock()
 
     async def run(self, started: anyio.Event | None = None) -> None:
-        """Load and serve until cancelled. Raises OSError and StateFileDamagedError."""
+        """Load the state and serve until cancelled. Raises OSError or StateFileDamagedError."""
         await self.load()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.cleanup_loop)
             await self.network.serve(self.config.listen, self.handle_connection, started)
 
     async def load(self) -> None:
-        """Begin a new epoch with the stored state."""
+        """Load the stored state and begin a new epoch. Raises OSError or StateFileDamagedError."""
         state = await self.storage.load(int(self.wall() * 1000))
         self.all_known = state.all_known
         self.store.as_of = self.store.newest_seen = Version(state.epoch, 0)
@@ -108,10 +120,15 @@
     # Changes
 
     def commit(self, changes: Iterable[EntryChange], complete_topics: Collection[str] = ()) -> Version:
-        """Count and send changes, all in one revision, without storing them.
+        """Number changes with one revision and send them, without storing them. Returns their version.
+
+        Args:
+            changes: Changes to commit.
+            complete_topics: Topics for which the changes contain all entries.
 
-        `complete_topics`: topics of which these are all the entries. Raises IncompleteTopicError,
-        TopicTooLargeError.
+        Raises:
+            IncompleteTopicError: The origin does not know all entries of a topic.
+            TopicTooLargeError: A topic would exceed the size limit.
         """
         normalized = self.normalize_changes(changes, complete_topics)
         version, changed = self.store.commit(normalized)
@@ -124,7 +141,10 @@
     def normalize_changes(
         self, changes: Iterable[EntryChange], complete_topics: Collection[str]
     ) -> list[EntryChange]:
-        """The changes, with removals of what is not in a complete topic, and ages as start times."""
+        """Add removals of entries missing from complete topics, and replace ages by start times.
+
+        Raises IncompleteTopicError or TopicTooLargeError.
+        """
         values: dict[tuple[str, str], Any] = {}
         for topic in complete_topics:
             log = self.store.logs.get(topic)
@@ -140,7 +160,10 @@
         return normalized
 
     def check_sizes(self, changes: list[EntryChange]) -> None:
-        """Raise TopicTooLargeError before anything is stored."""
+        """Raise TopicTooLargeError if the changes would make a topic too large.
+
+        Runs before anything is stored.
+        """
         sizes: dict[str, int] = {}
         for topic, key, value in changes:
             log = self.store.logs.get(topic)
@@ -153,14 +176,15 @@
                 raise TopicTooLargeError(topic, size, MAX_TOPIC_BYTES)
 
     def stored_entry(self, topic: str, key: str) -> LogEntry | None:
-        """What is held for a key."""
+        """Return the entry held for a key, or None."""
         log = self.store.logs.get(topic)
         return log.entries.get(key) if log is not None else None
 
     def with_start_time(self, topic: str, key: str, value: Any) -> Any:
-        """An endpoint with `since`, its start in seconds of the wall clock, in place of an age.
+        """Replace the age of an endpoint by `since`, its start time in seconds of the wall clock.
 
-        An age grows old on its way. The same start keeps its time.
+        An age would be outdated by the time it arrives. An endpoint with an unchanged `start` keeps its
+        earlier `since`.
         """
         if not isinstance(value, dict) or not isinstance(value.get("age"), int | float):
             return value
@@ -178,9 +202,9 @@
         return endpoint
 
     async def store_and_commit(self, changes: list[EntryChange], complete_topics: Collection[str]) -> Version:
-        """Store, count and send changes.
+        """Store changes, number them with one revision and send them. Returns their version.
 
-        Raises IncompleteTopicError, TopicTooLargeError, OSError: nothing was sent then.
+        Raises IncompleteTopicError, TopicTooLargeError or OSError, in which case nothing was sent.
         """
         async with self.commit_lock:
             normalized = self.normalize_changes(changes, complete_topics)
@@ -189,7 +213,7 @@
             return self.commit(normalized, complete_topics)
 
     def snapshot(self) -> dict[str, dict[str, msgspec.Raw]]:
-        """All values as JSON by topic and key."""
+        """Return all values as JSON, by topic and key."""
         return {
             topic: {key: msgspec.Raw(value) for key, value in log.snapshot().items()}
             for topic, log in self.store.logs.items()
@@ -198,7 +222,10 @@
     # Requests
 
     async def answer_other(self, request: Request, path: str) -> Response | None:
-        """Changes, relays' reports, and what is in force."""
+        """Serve changes, reports of relays and queries of what is in force.
+
+        Returns None for all other requests.
+        """
         if path == CHANGES_PATH and request.method == "POST":
             return await self.answer_changes(request)
         if path == IN_FORCE_PATH and request.method == "POST":
@@ -210,7 +237,7 @@
         return None
 
     def answer_relay_summary(self, request: Request) -> Response:
-        """Take in a relay's report."""
+        """Record the report of a relay. Raises MalformedMessageError if it names an unknown zone."""
         report = decoding.parse_relay_summary(request.body, self.wall())
         if report.relay not in self.config.relays:
             self.log(LogEvent.SUMMARY_FROM_UNKNOWN_RELAY, relay=report.relay)
@@ -221,7 +248,7 @@
         return json_answer({})
 
     async def answer_changes(self, request: Request) -> Response:
-        """Make changes and answer with their version."""
+        """Store and commit changes, and respond with their version."""
         changes_request = decoding.parse_changes(request.body)
         changes = [EntryChange(item.topic, item.key, item.value) for item in changes_request.changes]
         try:
@@ -238,12 +265,15 @@
     # Relays
 
     def check_admission(self, message: SubscribeRequest) -> None:
-        """Raise MalformedMessageError for one that the configuration doesn't name, or in another zone."""
+        """Raise MalformedMessageError unless the configuration names the relay with this zone.
+
+        Requests that change the topics of an existing stream are not checked.
+        """
         if not message.extends and self.config.relays.get(message.subscriber) != message.zone:
             raise MalformedMessageError("follower", "no relay of this origin, or of another zone")
 
     def on_topics_requested(self, topics: Collection[str]) -> None:
-        """Open topics without entries as empty ones, if all is known."""
+        """Create requested topics that are not held as empty topics, if all topics are known."""
         if self.all_known:
             missing_topics = [topic for topic in topics if topic not in self.store.logs]
             for topic in missing_topics:
@@ -251,7 +281,7 @@
             self.topics_changed(missing_topics)
 
     def on_topics_unused(self, topics: list[str]) -> None:
-        """Drop topics that never had an entry: names that someone made up are not held."""
+        """Drop unused topics that never had an entry, so that invented names are not held."""
         for topic in topics:
             log = self.store.logs.get(topic)
             if self.all_known and log is not None and not log.version.revision:
--- a/gullmount/distribution/origin_storage.py
+++ b/gullmount/distribution/origin_storage.py
@@ -1,7 +1,8 @@
-"""What an origin stores on disk: the number of its epoch and, if its file says so, the state.
+"""Stores the epoch of an origin on disk and, if configured, its state.
 
-Two files: the state as of the begin of an epoch or later, replaced whole, and beside it (`.log`) the changes
-since then, a line each. A change is on the disk before it is sent to anyone.
+There are two files. The state file holds a snapshot taken at the beginning of an epoch or later, and is only
+replaced as a whole. The change log next to it (suffix `.log`) holds the changes since the snapshot, one line
+for each write. A change is on disk before it is sent to anyone.
 """
 
 from __future__ import annotations
@@ -20,25 +21,27 @@
 from gullmount.proxy import FileStateStore
 from gullmount.rpc import MESSAGE_VERSION, InvalidMessageError, check_fields, convert, decode_message
 
-MIN_COMPACTION_LOG_BYTES = 4 << 20  # of changes, below which the state is not written whole again
+# A change log up to this size is not replaced by a new snapshot.
+MIN_COMPACTION_LOG_BYTES = 4 << 20
 
-State = Mapping[str, Mapping[str, Any]]  # values, or their JSON as msgspec.Raw, by topic and key
+# Values by topic and key, either decoded or as JSON in msgspec.Raw.
+State = Mapping[str, Mapping[str, Any]]
 
 
 @dataclass(frozen=True)
 class OriginState:
-    """What an origin begins with."""
+    """The state with which an origin starts."""
 
     epoch: int
-    """Above that of any earlier process."""
+    """Epoch, higher than that of any earlier process."""
     topics: dict[str, dict[str, Any]]
-    """Values by topic and key; a topic without any is empty."""
+    """Values by topic and key. A topic without keys is empty."""
     all_known: bool
-    """Whether a topic that is not there is empty; else it is not known."""
+    """Whether an absent topic is empty. Otherwise its content is unknown."""
 
 
 class StoredChanges(msgspec.Struct):
-    """A line of the change log; `known` are topics that are known from here on."""
+    """A line of the change log. The topics in `known` are known from this line on."""
 
     v: int
     epoch: int
@@ -47,7 +50,7 @@
 
 
 class StoredState(msgspec.Struct):
-    """The state file."""
+    """The content of the state file."""
 
     v: int
     epoch: int
@@ -56,32 +59,45 @@
 
 
 class OriginStorage(Protocol):
-    """Where an origin stores its state. Raises OSError where the disk does."""
+    """Storage for the epoch and state of an origin. Disk errors are raised as OSError."""
 
     async def load(self, wall_ms: int) -> OriginState:
-        """Begin an epoch. Raises StateFileDamagedError."""
+        """Begin an epoch and return the stored state. Raises StateFileDamagedError.
+
+        Args:
+            wall_ms: Wall clock in milliseconds. The epoch is at least this high.
+        """
 
     async def append(
         self, changes: list[EntryChange], known: Collection[str], state: Callable[[], State], /
     ) -> None:
-        """Store changes: once it returns they are on the disk.
+        """Store changes. They are on disk once it returns.
 
-        `known`: topics that are known from here on; `state`: gives all of the state before them.
+        Args:
+            changes: Changes to store.
+            known: Topics that are known from now on.
+            state: Returns the complete state before the changes.
         """
 
 
 class MemoryOriginStorage:
-    """Outlives an origin in one process. `initialize`: the first one knows that there is nothing yet."""
+    """Keeps the state in memory, for restarts of an origin within one process."""
 
     def __init__(self, remembered: bool = False, initialize: bool = True) -> None:
-        """Start empty; the state is stored if `remembered`."""
+        """Create an empty storage.
+
+        Args:
+            remembered: Whether to store the state as well as the epoch.
+            initialize: Whether the first origin may assume that no topic has entries yet. Only takes effect
+                with `remembered`.
+        """
         self.remembered = remembered
         self.all_known = remembered and initialize
         self.epoch = 0
         self.topics: dict[str, dict[str, Any]] = {}
 
     async def load(self, wall_ms: int) -> OriginState:
-        """Begin an epoch."""
+        """Begin an epoch and return the stored state."""
         self.epoch = max(self.epoch + 1, wall_ms)
         topics = {topic: dict(entries) for topic, entries in self.topics.items()}
         return OriginState(self.epoch, topics, self.all_known)
@@ -92,13 +108,13 @@
         known: Collection[str],
         _state: Callable[[], State],
     ) -> None:
-        """Store changes."""
+        """Store changes if the state is remembered."""
         if self.remembered:
             replay(self.topics, changes, known)
 
 
 def replay(topics: dict[str, dict[str, Any]], changes: list[EntryChange], known: Collection[str]) -> None:
-    """Apply changes to values by topic and key."""
+    """Apply changes to values by topic and key. Known topics are added if they are absent."""
     for topic in known:
         topics.setdefault(topic, {})
     for topic, key, value in changes:
@@ -109,25 +125,33 @@
 
 
 class FileOriginStorage:
-    """Files at `path` and beside it.
-
-    `initialize`: a missing file begins, for the very first start; without that, it may have been lost, and
-    nothing is known.
-    """
+    """Stores the state in the file `path` and the changes in a change log next to it."""
 
     def __init__(self, path: Path, remembered: bool, initialize: bool = False) -> None:
-        """Store at `path`; the state as well as the epoch if `remembered`."""
+        """Create a storage without touching its files.
+
+        Args:
+            path: Path of the state file.
+            remembered: Whether to store the state as well as the epoch.
+            initialize: Whether a missing state file means an empty state, for the very first start.
+                Otherwise the file may have been lost, and all topics are unknown.
+        """
         self.path = path
         self.change_log = path.with_name(path.name + ".log")
         self.remembered = remembered
         self.initialize = initialize
         self.epoch = 0
         self.all_known = False
-        self.snapshot_bytes = 0  # of the state as it was last written whole
-        self.write_failed = False  # half a line may be in the log: nothing is added to it
+        # Size of the last snapshot.
+        self.snapshot_bytes = 0
+        # After a failed write that was not undone, the log may end in a partial line. Nothing is appended.
+        self.write_failed = False
 
     async def load(self, wall_ms: int) -> OriginState:
-        """Begin an epoch. Raises OSError, StateFileDamagedError."""
+        """Begin an epoch, store it and return the stored state.
+
+        Raises OSError or StateFileDamagedError.
+        """
         previous = self.read()
         self.epoch = max(previous.epoch + 1, wall_ms)
         self.all_known = previous.all_known
@@ -136,7 +160,7 @@
         return OriginState(self.epoch, previous.topics, self.all_known)
 
     def read(self) -> OriginState:
-        """What is stored. Raises OSError, StateFileDamagedError."""
+        """Read the stored state. Raises OSError or StateFileDamagedError."""
         data = FileStateStore(self.path).load()
         if data is None:
             return OriginState(0, {}, self.remembered and self.initialize)
@@ -149,11 +173,12 @@
         return state
 
     def decode_state(self, data: bytes) -> OriginState:
-        """The state file with the changes since. Raises OSError, InvalidMessageError."""
+        """Decode the state file and apply the change log. Raises OSError or InvalidMessageError."""
         stored = check_fields(decode_message(data), {"epoch": int, "topics": dict, "all_known": bool})
         topics = convert(stored["topics"], dict[str, dict[str, Any]])
         if self.remembered and self.change_log.exists():
-            *lines, _ = self.change_log.read_bytes().split(b"\n")  # half a line was never answered
+            # A partial last line is dropped: its changes were never confirmed.
+            *lines, _ = self.change_log.read_bytes().split(b"\n")
             for line in lines:
                 fields = check_fields(decode_message(line), {"epoch": int, "changes": list, "whole": list})
                 if fields["epoch"] == stored["epoch"]:
@@ -162,15 +187,16 @@
         return OriginState(stored["epoch"], topics, stored["all_known"])
 
     def encode_snapshot(self, state: State) -> bytes:
-        """The state file, with no state if that is not remembered."""
+        """Encode the state file. It contains no topics unless the state is remembered."""
         topics = state if self.remembered else {}
         all_known = self.remembered and self.all_known
         return msgspec.json.encode(StoredState(MESSAGE_VERSION, self.epoch, all_known, topics))
 
     async def write_snapshot(self, data: bytes) -> None:
-        """Replace the state file and empty the log.
+        """Replace the state file, then empty the change log. Raises OSError.
 
-        A crash between leaves lines that are in the state already, or of an earlier epoch.
+        A crash between the two steps leaves lines in the log that the state already contains or that belong
+        to an earlier epoch.
         """
         await FileStateStore(self.path).save(data)
         self.snapshot_bytes = len(data)
@@ -178,14 +204,14 @@
             await anyio.to_thread.run_sync(self.truncate_log)
 
     def truncate_log(self) -> None:
-        """Empty the log. Raises OSError."""
+        """Empty the change log. Raises OSError."""
         with self.change_log.open("wb") as file:
             os.fsync(file.fileno())
 
     async def append(
         self, changes: list[EntryChange], known: Collection[str], state: Callable[[], State]
     ) -> None:
-        """Store changes, and the state whole when the log has grown. Raises OSError."""
+        """Append changes to the change log, and write a snapshot if the log is large. Raises OSError."""
         if not self.remembered:
             return
         line = msgspec.json.encode(StoredChanges(MESSAGE_VERSION, self.epoch, changes, sorted(known))) + b"\n"
@@ -195,7 +221,11 @@
                 await self.write_snapshot(self.encode_snapshot(state()))
 
     def append_line(self, line: bytes) -> int:
-        """Add a line to the log; the log's size in bytes. Raises OSError, and undoes what was written."""
+        """Append a line to the change log and return the size of the log in bytes.
+
+        Raises OSError, after it has removed what was written. Raises ChangeLogUnusableError if an earlier
+        write failed and could not be undone.
+        """
         if self.write_failed:
             raise ChangeLogUnusableError(self.change_log)
         with self.change_log.open("ab") as file:
--- a/gullmount/distribution/remembered_state.py
+++ b/gullmount/distribution/remembered_state.py
@@ -28,10 +28,10 @@
 
 
 def encode_topics(topics: dict[str, StoredTopic]) -> bytes:
-    """Encodes the content of the state file."""
+    """Encode the content of the state file."""
     return msgspec.json.encode(StoredTopics(MESSAGE_VERSION, topics))
 
 
 def decode_topics(data: bytes) -> dict[str, StoredTopic]:
-    """Decodes the content of the state file. Raises InvalidMessageError if it is malformed."""
+    """Decode the content of the state file. Raises InvalidMessageError if it is malformed."""
     return convert(check_fields(decode_message(data), {"topics": dict})["topics"], dict[str, StoredTopic])
--- a/gullmount/distribution/send_rate.py
+++ b/gullmount/distribution/send_rate.py
@@ -22,19 +22,19 @@
     """Limits the bytes sent in any one second. A single larger batch may be sent in an empty window."""
 
     def __init__(self, bytes_per_second: int) -> None:
-        """Creates a limiter that allows `bytes_per_second`."""
+        """Create a limiter that allows `bytes_per_second`."""
         self.bytes_per_second = bytes_per_second
         self.sent: deque[SentBatch] = deque()
         self.last_second_bytes = 0
 
     def available_bytes(self, now: float) -> int:
-        """Returns how many bytes may be sent at `now`."""
+        """Return how many bytes may be sent at `now`."""
         while self.sent and self.sent[0].at + WINDOW_SECONDS <= now:
             self.last_second_bytes -= self.sent.popleft().size_bytes
         return self.bytes_per_second - self.last_second_bytes
 
     def earliest_send(self, size_bytes: int, now: float) -> float:
-        """Returns the earliest time at which a batch of `size_bytes` may be sent."""
+        """Return the earliest time at which a batch of `size_bytes` may be sent."""
         available, earliest = self.available_bytes(now), now
         for batch in self.sent:
             if available >= size_bytes:
@@ -44,6 +44,6 @@
         return earliest
 
     def record_sent(self, size_bytes: int, now: float) -> None:
-        """Records a batch of `size_bytes` that was sent at `now`."""
+        """Record a batch of `size_bytes` that was sent at `now`."""
         self.sent.append(SentBatch(now, size_bytes))
         self.last_second_bytes += size_bytes
--- a/gullmount/distribution/subscriber_progress.py
+++ b/gullmount/distribution/subscriber_progress.py
@@ -20,13 +20,13 @@
 
 
 def rejects_newest(subscription: Subscription, topic: str, store: TopicStore) -> bool:
-    """Returns whether the subscriber rejected the newest version of the topic."""
+    """Return whether the subscriber rejected the newest version of the topic."""
     rejection = subscription.rejections.get(topic)
     return rejection is not None and rejection.version >= store.version(topic) > NO_VERSION
 
 
 def in_force_up_to(subscription: Subscription, topic: str, version: Version, store: TopicStore) -> Version:
-    """Returns the version up to which all changes of a topic are in force.
+    """Return the version up to which all changes of a topic are in force.
 
     Args:
         subscription: Subscription to the topic.
@@ -46,7 +46,7 @@
 
 
 def compute_subscriber_progress(subscription: Subscription, store: TopicStore) -> SubscriberProgress:
-    """Computes the progress of a subscriber.
+    """Compute the progress of a subscriber.
 
     Topics that the subscriber never received set `is_starting` and don't affect the versions.
     """
@@ -75,7 +75,7 @@
     progress: Callable[[Subscription], SubscriberProgress],
     as_of: Version,
 ) -> InForceSummary:
-    """Summarizes the subscribers of a zone.
+    """Summarize the subscribers of a zone.
 
     Args:
         count: Number of subscribers in the zone.
--- a/gullmount/distribution/subscription.py
+++ b/gullmount/distribution/subscription.py
@@ -67,7 +67,7 @@
     )
 
     def __init__(self, name: str, zone: str, session: int, with_history: bool) -> None:
-        """Creates a subscription without topics.
+        """Create a subscription without topics.
 
         Args:
             name: Name of the subscriber.
@@ -99,25 +99,25 @@
         self.progress: SubscriberProgress | None = None
 
     def includes(self, topic: str) -> bool:
-        """Returns whether the subscription includes the topic."""
+        """Return whether the subscription includes the topic."""
         return topic in self.sent
 
     def has_unsent(self) -> bool:
-        """Returns whether any topic is unsent."""
+        """Return whether any topic is unsent."""
         return bool(self.unsent[CONFIGURATION_QUEUE] or self.unsent[ENDPOINT_QUEUE])
 
     def mark_unsent(self, topic: str) -> None:
-        """Marks the newest version of the topic as unsent."""
+        """Mark the newest version of the topic as unsent."""
         is_configuration = topic.startswith(CONFIGURATION_PREFIX)
         self.unsent[CONFIGURATION_QUEUE if is_configuration else ENDPOINT_QUEUE].setdefault(topic)
 
     def mark_sent(self, topic: str) -> None:
-        """Marks the topic as having nothing to send."""
+        """Mark the topic as having nothing to send."""
         for topics in self.unsent:
             topics.pop(topic, None)
 
     def next_topic(self) -> str | None:
-        """Returns the topic to send next, or None if nothing is unsent.
+        """Return the topic to send next, or None if nothing is unsent.
 
         Configuration and endpoint topics alternate, so that neither waits for all of the other. For example,
         the endpoint changes of a lost zone must not delay a configuration change.
@@ -128,7 +128,7 @@
         return None
 
     def remove_topic(self, topic: str) -> None:
-        """Discards all state of the topic."""
+        """Discard all state of the topic."""
         for versions in (self.sent, self.in_force, self.complete_as_of, self.first_sent):
             versions.pop(topic, None)
         self.not_in_force.pop(topic, None)
--- a/gullmount/distribution/subscriptions.py
+++ b/gullmount/distribution/subscriptions.py
@@ -52,7 +52,7 @@
         max_subscribers: int = MAX_SUBSCRIBERS,
         grace_seconds: float = DISCONNECT_GRACE_SECONDS,
     ) -> None:
-        """Creates an instance without subscribers.
+        """Create an instance without subscribers.
 
         Args:
             store: Holds the topics.
@@ -88,7 +88,7 @@
         as_of: Version = NO_VERSION,
         with_history: bool = False,
     ) -> int:
-        """Begins a stream of a subscriber, discards its earlier state and returns the new session.
+        """Begin a stream of a subscriber, discard its earlier state and return the new session.
 
         The server of an earlier stream of the subscriber must end that stream.
 
@@ -118,7 +118,7 @@
         return subscription.session
 
     def add_topics(self, name: str, session: int, held: Mapping[str, Version]) -> bool:
-        """Adds topics to a subscription, or requests topics again if they are held at NO_VERSION.
+        """Add topics to a subscription, or request topics again if they are held at NO_VERSION.
 
         Returns False if the session has no active stream.
         """
@@ -130,7 +130,7 @@
         return True
 
     def remove_topics(self, name: str, session: int, topics: Iterable[str], now: float) -> bool:
-        """Unsubscribes from topics. Returns False if the session has no active stream."""
+        """Unsubscribe from topics. Returns False if the session has no active stream."""
         subscription = self.active_subscription(name, session)
         if subscription is None:
             return False
@@ -141,7 +141,7 @@
         return True
 
     def disconnect(self, name: str, session: int, now: float) -> None:
-        """Records the end of a stream. Does nothing if the subscriber has begun a later stream."""
+        """Record the end of a stream. Does nothing if the subscriber has begun a later stream."""
         subscription = self.active_subscription(name, session)
         if subscription is None:
             return
@@ -154,7 +154,7 @@
         self.progress_changed(subscription)
 
     def expire(self, now: float) -> list[str]:
-        """Removes subscribers disconnected for at least the grace period and returns their names."""
+        """Remove subscribers disconnected for at least the grace period and return their names."""
         expired: list[str] = []
         for name, since in self.disconnected.items():
             if now - since < self.grace_seconds:
@@ -165,7 +165,7 @@
         return expired
 
     def take_unused_topics(self, now: float) -> list[str]:
-        """Returns topics without subscribers for UNUSED_TOPIC_TIMEOUT_SECONDS, each of them once."""
+        """Return topics without subscribers for UNUSED_TOPIC_TIMEOUT_SECONDS, each of them once."""
         unused: list[str] = []
         for topic, since in self.unused_topics.items():
             if now - since < UNUSED_TOPIC_TIMEOUT_SECONDS:
@@ -176,7 +176,7 @@
         return unused
 
     def active_subscription(self, name: str, session: int) -> Subscription | None:
-        """Returns the subscription whose active stream has this session, or None."""
+        """Return the subscription whose active stream has this session, or None."""
         subscription = self.by_subscriber.get(name)
         if subscription is None or subscription.session != session:
             return None
@@ -189,7 +189,7 @@
         in_force: Mapping[str, Version],
         as_of: Version,
     ) -> None:
-        """Adds topics to a subscription with the versions that the subscriber holds and has in force."""
+        """Add topics to a subscription with the versions that the subscriber holds and has in force."""
         for topic, version in held.items():
             # A topic that is requested again keeps its version in force.
             known = subscription.in_force.get(topic, NO_VERSION)
@@ -205,7 +205,7 @@
             self.refresh_topic(subscription, topic)
 
     def refresh_topic(self, subscription: Subscription, topic: str) -> None:
-        """Updates whether a topic is unsent and in force after the store or the subscriber changed."""
+        """Update whether a topic is unsent and in force after the store or the subscriber changed."""
         log = self.store.logs.get(topic)
         if log is None:
             subscription.unknown_topics.add(topic)
@@ -222,7 +222,7 @@
             subscription.not_in_force.pop(topic, None)
 
     def remove(self, name: str, now: float) -> None:
-        """Removes a subscriber. Does nothing if the name is unknown."""
+        """Remove a subscriber. Does nothing if the name is unknown."""
         subscription = self.by_subscriber.pop(name, None)
         if subscription is None:
             return
@@ -235,7 +235,7 @@
             del self.count_by_zone[subscription.zone]
 
     def remove_subscription_topic(self, subscription: Subscription, topic: str, now: float) -> None:
-        """Removes a topic from a subscription and marks it unused if no subscriber is left."""
+        """Remove a topic from a subscription and mark it unused if no subscriber is left."""
         subscription.remove_topic(topic)
         others = self.by_topic[topic]
         del others[subscription.name]
@@ -246,7 +246,7 @@
     # Sending
 
     def topics_changed(self, *topics: str) -> list[str]:
-        """Marks topics with a new version or a gap, and returns the subscribers that have updates to send.
+        """Mark topics with a new version or a gap, and return the subscribers that have updates to send.
 
         Callers pass all topics of one change or message at once, before they send another line. Each line
         states that everything up to its `as_of` was sent, which holds only once all changes are marked.
@@ -261,7 +261,7 @@
         return list(waiting)
 
     def next_batch(self, name: str, session: int, max_bytes: int) -> Batch | None:
-        """Returns the next batch of unsent topics, or None if there is none.
+        """Return the next batch of unsent topics, or None if there is none.
 
         A batch holds the newest versions of as many topics as fit into `max_bytes`, and at least one. Its
         topics count as sent. After a broken stream, the subscriber begins a new stream with the versions
@@ -287,7 +287,7 @@
         return Batch(line, len(updates))
 
     def record_sent(self, subscription: Subscription, topic: str) -> None:
-        """Records that a batch contains the newest version of a topic."""
+        """Record that a batch contains the newest version of a topic."""
         is_configuration = topic in subscription.unsent[CONFIGURATION_QUEUE]
         subscription.next_queue = ENDPOINT_QUEUE if is_configuration else CONFIGURATION_QUEUE
         subscription.mark_sent(topic)
@@ -297,11 +297,11 @@
             subscription.progress = None
 
     def encoded_update(self, subscription: Subscription, topic: str) -> bytes:
-        """Encodes the update of a topic from the version last sent to the newest one."""
+        """Encode the update of a topic from the version last sent to the newest one."""
         return self.store.encoded_update(topic, subscription.sent[topic], subscription.with_history)
 
     def heartbeat(self, name: str, session: int, origin_silent_seconds: float = 0.0) -> bytes | None:
-        """Encodes a line without updates. Returns None if the stream has ended.
+        """Encode a line without updates. Returns None if the stream has ended.
 
         Args:
             name: Name of the subscriber.
@@ -320,7 +320,7 @@
         )
 
     def complete_version(self, subscription: Subscription) -> Version:
-        """Returns the version up to which the subscribed topics are complete in the store."""
+        """Return the version up to which the subscribed topics are complete in the store."""
         complete = self.store.as_of
         for topic, version in self.store.gaps.items():
             if subscription.includes(topic):
@@ -328,11 +328,11 @@
         return complete
 
     def has_more(self, subscription: Subscription) -> bool:
-        """Returns whether any requested topic is unsent or not yet known to the store."""
+        """Return whether any requested topic is unsent or not yet known to the store."""
         return subscription.has_unsent() or bool(subscription.unknown_topics)
 
     def next_batch_bytes(self, name: str, session: int) -> int:
-        """Returns the size in bytes of the smallest possible next batch, or 0 if nothing is unsent."""
+        """Return the size in bytes of the smallest possible next batch, or 0 if nothing is unsent."""
         subscription = self.active_subscription(name, session)
         topic = subscription.next_topic() if subscription is not None else None
         if subscription is None or topic is None:
@@ -344,7 +344,7 @@
     def acknowledge(
         self, name: str, in_force: Mapping[str, Version], rejections: Mapping[str, Rejection]
     ) -> bool:
-        """Records the versions that a subscriber applied or rejected since its last report.
+        """Record the versions that a subscriber applied or rejected since its last report.
 
         An earlier report that arrives late changes nothing. Returns False if the subscriber is unknown.
         """
@@ -359,7 +359,7 @@
         return True
 
     def record_in_force(self, subscription: Subscription, topic: str, version: Version) -> None:
-        """Records that a newer version of a topic is in force at the subscriber."""
+        """Record that a newer version of a topic is in force at the subscriber."""
         subscription.in_force[topic] = version
         subscription.complete_as_of.pop(topic, None)
         subscription.first_sent.pop(topic, None)
@@ -369,7 +369,10 @@
         self.refresh_topic(subscription, topic)
 
     def record_rejections(self, subscription: Subscription, rejections: Mapping[str, Rejection]) -> None:
-        """Records rejected versions that are newer than those in force and not older than earlier rejections."""
+        """Record rejected versions.
+
+        A version is ignored if it or a newer one is in force, or if a newer one was rejected.
+        """
         for topic, rejection in rejections.items():
             version = rejection.version
             if not subscription.includes(topic) or version <= subscription.in_force[topic]:
@@ -380,7 +383,7 @@
                 subscription.rejections[topic] = Rejection(*version, reason)
 
     def progress_changed(self, subscription: Subscription) -> None:
-        """Discards the cached progress of a changed subscription and updates `unsettled`."""
+        """Discard the cached progress of a changed subscription and update `unsettled`."""
         subscription.progress = None
         is_settled = (
             not subscription.not_in_force
@@ -393,17 +396,17 @@
             self.unsettled[subscription.name] = subscription
 
     def progress(self, subscription: Subscription) -> SubscriberProgress:
-        """Returns the progress of a subscriber, which is cached until the subscription changes."""
+        """Return the progress of a subscriber, which is cached until the subscription changes."""
         if subscription.progress is None:
             subscription.progress = self.compute_progress(subscription)
         return subscription.progress
 
     def compute_progress(self, subscription: Subscription) -> SubscriberProgress:
-        """Computes the progress of a subscriber from its topics."""
+        """Compute the progress of a subscriber from its topics."""
         return compute_subscriber_progress(subscription, self.store)
 
     def summary(self) -> dict[str, InForceSummary]:
-        """Summarizes by zone what is in force. Only unsettled subscriptions are read one by one."""
+        """Summarize by zone what is in force. Only unsettled subscriptions are read one by one."""
         by_zone: dict[str, list[Subscription]] = {zone: [] for zone in self.count_by_zone}
         for subscription in self.unsettled.values():
             by_zone[subscription.zone].append(subscription)
--- a/tests/distribution/test_origin.py
+++ b/tests/distribution/test_origin.py
@@ -1,4 +1,4 @@
-"""The origin: what is in force, new epochs, and lost state."""
+"""Tests the reports of the origin on what is in force, new epochs, lost state and invalid requests."""
 
 from __future__ import annotations
 
@@ -114,7 +114,8 @@
         scene.wall_offset = -86_400.0
         await scene.origin(remembered=remembered)
         await anyio.sleep(30)
-        assert received.number["pay"] == 29  # neither emptied nor taken back
+        # The configuration was neither emptied nor reverted.
+        assert received.number["pay"] == 29
         version = scene.origins[-1].commit(
             [("config/pay", "routes", {"n": 30})], [] if remembered else ["config/pay"]
         )
@@ -168,7 +169,8 @@
         await scene.until(subscriber_one.synced.is_set)
         await scene.kill("source")
         scene.kept = MemoryOriginStorage(remembered=True, initialize=False)
-        await scene.origin()  # a later life by its clock, and blank
+        # The new origin has a higher epoch from its clock, and no state.
+        await scene.origin()
         await anyio.sleep(60)
         assert received.number["pay"] == 5 and len(received.endpoints_of["pay"]) == 5
         with pytest.raises(IncompleteTopicError):
--- a/tests/distribution/test_origin_storage.py
+++ b/tests/distribution/test_origin_storage.py
@@ -1,4 +1,4 @@
-"""The origin's files outlive its process."""
+"""Tests that the files of an origin preserve its epoch and state across restarts."""
 
 from __future__ import annotations
 
@@ -32,7 +32,8 @@
             [("boxes/pay", "h:2", None), ("config/pay", "routes", [1])], ["boxes/sell"], dict
         )
         with storage.change_log.open("ab") as file:
-            file.write(b'{"v":1,"epoch":10,"changes":[["boxes/pay","h:3"')  # died in the middle
+            # The process ended in the middle of a write.
+            file.write(b'{"v":1,"epoch":10,"changes":[["boxes/pay","h:3"')
         expected = {"boxes/pay": {"h:1": {"a": 1}}, "config/pay": {"routes": [1]}, "boxes/sell": {}}
         assert await FileOriginStorage(path, remembered=True).load(5) == OriginState(11, expected, True)
         assert await FileOriginStorage(path, remembered=True).load(5) == OriginState(12, expected, True)
--- a/tests/distribution/test_send_rate.py
+++ b/tests/distribution/test_send_rate.py
@@ -1,4 +1,4 @@
-"""The bytes of each second are bounded."""
+"""Tests that the bytes sent in any one second are bounded."""
 
 from __future__ import annotations
 
@@ -20,5 +20,6 @@
     for start, _ in sent_batches:
         assert sum(size for at, size in sent_batches if start <= at < start + 1.0) <= 7_000
     assert sum(size for _, size in sent_batches) > 60 * 4_500
-    limiter.record_sent(20_000, now + 1.0)  # one that is larger goes when nothing went for a second
+    # A batch above the limit is sent once nothing was sent for a second.
+    limiter.record_sent(20_000, now + 1.0)
     assert limiter.earliest_send(50, now + 1.0) == now + 2.0
--- a/tests/distribution/test_stored_state.py
+++ b/tests/distribution/test_stored_state.py
@@ -1,7 +1,7 @@
-"""Files and messages of version 883dea8 are read as that version read them.
+"""Tests that files and messages of version 883dea8 are read as that version read them.
 
-`tests/data/distribution/` was written by that version: an origin's state with its change log, what a proxy
-remembers of its subscriptions, and one of each message.
+That version wrote `tests/data/distribution/`. The directory holds the state of an origin with its change log,
+the stored state of a proxy's subscriptions, and one message of each kind.
 """
 
 from __future__ import annotations
@@ -30,7 +30,8 @@
 DATA = ROOT / "tests" / "data" / "distribution"
 WIRE: dict[str, str] = json.loads((DATA / "messages.json").read_text())
 EPOCH = 900_000_000
-WALL = 1e6  # seconds
+# Seconds of the wall clock.
+WALL = 1e6
 
 
 def endpoint(build: int, state: str, since: float) -> dict[str, Any]:
--- a/tests/distribution/test_subscriber_progress.py
+++ b/tests/distribution/test_subscriber_progress.py
@@ -1,4 +1,4 @@
-"""What is in force at subscribers, beside a plain model."""
+"""Tests what counts as in force at subscribers, also against a reference model."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     scene.settle("u", "w")
     zones = scene.subscriptions.summary()
     assert zones["b"].lowest == newest and zones["b"].behind == 0
-    assert zones["a"].lowest == other, "what came before the change that it waits for is in force there"
+    assert zones["a"].lowest == other, "everything before the change that is missing is in force"
     assert zones["a"].behind_names == (("v", other),)
     assert scene.batch("v") == ["config/0"]
-    assert scene.subscriptions.summary()["a"].behind == 1, "told is not applied"
+    assert scene.subscriptions.summary()["a"].behind == 1, "a version that was sent is not in force yet"
     scene.report("v")
     assert scene.subscriptions.summary()["a"] == InForceSummary(
         subscribers=2, lowest=newest, lowest_used=newest
@@ -46,9 +46,9 @@
 @settings(max_examples=100, deadline=None)
 @given(st.data())
 def test_lowest_version_matches_a_reference_model(data: st.DataObject) -> None:
-    """The lowest version of a zone is at most the plain model's, and the same once all is reported.
+    """The lowest version of a zone never exceeds that of the model, and equals it once all is reported.
 
-    The plain model goes through all changes in their order, to the first that a subscriber has not in force.
+    The model goes through all changes in order, up to the first one that a subscriber does not have in force.
     """
     scene = Scene(services=2)
     all_changes: list[tuple[Version, set[str]]] = [(scene.topics.as_of, set(scene.names))]
@@ -104,12 +104,14 @@
     assert zone_summary.unusable_versions == (
         UnusableVersion("u", "config/0", rejected_version, ("no such route: " + "x" * 500)[:100]),
     )
-    assert (zone_summary.behind, zone_summary.unusable) == (0, 1), "it is not waited for"
+    assert (zone_summary.behind, zone_summary.unusable) == (0, 1), (
+        "a subscriber that rejected the version does not count as behind"
+    )
     assert (zone_summary.lowest, zone_summary.lowest_used) == (rejected_version, previous_version)
-    # what it refused moves with it
+    # The rejection is kept when the subscriber begins a new stream.
     scene.join("u", now=1.0)
     assert scene.subscriptions.summary()["a"] == zone_summary
-    # a newer one: behind again, until it is in force
+    # After a newer version, the subscriber is behind again until that is in force.
     newest_version = scene.change(("config/0", "k", "good"))
     zone_summary = scene.subscriptions.summary()["a"]
     assert (zone_summary.behind, zone_summary.unusable, zone_summary.lowest) == (
@@ -175,7 +177,10 @@
 
 
 def test_subscriber_that_changes_relays_is_counted_at_its_as_of_version_at_once() -> None:
-    """Its topics are old, but were all there was as of much later: the new relay does not go back to them."""
+    """The versions of its topics are old, but were still current at a much later version.
+
+    The new relay must report the later version, not the old ones.
+    """
     scene = Scene(services=2)
     scene.join("u", topics=["boxes/0", "config/0"])
     scene.settle("u")
@@ -223,7 +228,7 @@
     scene.change(("config/1", "k", 1))
     for _ in range(5):
         scene.subscriptions.summary()
-    assert computation_counts == {"u-0": 1}, "and once after each change of it"
+    assert computation_counts == {"u-0": 1}, "progress is computed once after each change of a subscription"
     scene.change(("boxes/1", "k", 1))
     scene.settle("u-0")
     assert scene.subscriptions.summary()["zone-0"].lowest == scene.topics.as_of and computation_counts == {
--- a/tests/distribution/test_subscriptions.py
+++ b/tests/distribution/test_subscriptions.py
@@ -1,4 +1,4 @@
-"""Subscribers of a server: what they are sent, and what they report."""
+"""Tests what subscribers are sent and how their reports are recorded."""
 
 from __future__ import annotations
 
@@ -44,10 +44,12 @@
             temporary_key = f"passing-{random.randrange(40)}"
             scene.change((name, "k", step % 10), (name, temporary_key, random.choice([None, 1])))
 
-    tracemalloc.start()  # before the first, as each change replaces what was there
+    # Tracing starts before the first changes because each change replaces earlier allocations.
+    tracemalloc.start()
     allocated_bytes = []
     for _ in range(2):
-        change_topics(15_000)  # the first time to what is bounded: keys, tombstones
+        # The first round fills everything that is bounded, such as keys and tombstones.
+        change_topics(15_000)
         gc.collect()
         allocated_bytes.append(tracemalloc.get_traced_memory()[0])
     tracemalloc.stop()
@@ -81,7 +83,8 @@
     scene.settle("u")
     scene.change(("boxes/0", "k", 1), ("boxes/1", "k", 1), ("boxes/2", "k", 1), ("config/3", "k", 1))
     sent_topics = []
-    for _ in range(8):  # boxes/0 and config/3 change all the time
+    # boxes/0 and config/3 change before every batch but the first.
+    for _ in range(8):
         sent_topics += scene.batch("u", 1)
         scene.change(("boxes/0", "k", len(sent_topics) + 10), ("config/3", "k", len(sent_topics) + 10))
     assert sent_topics[0] == "config/3"
@@ -106,7 +109,8 @@
     scene.join("u")
     scene.settle("u")
     scene.change(("boxes/0", "k", 7))
-    assert scene.subscriptions.next_batch("u", scene.sessions["u"], 1000) is not None  # lost with the stream
+    # This batch is lost with the stream.
+    assert scene.subscriptions.next_batch("u", scene.sessions["u"], 1000) is not None
     scene.subscriptions.disconnect("u", scene.sessions["u"], 1.0)
     scene.join("u", now=2.0)
     assert scene.batch("u") == ["boxes/0"] and entries_of(scene.receivers["u"].store, "boxes/0") == {"k": 7}
@@ -123,7 +127,7 @@
     assert subscriptions.topics_changed(PAY) == ["u"]
     batch = subscriptions.next_batch("u", session, 1000)
     assert batch is not None and batch.topics == 1 and b'"more":true' in batch.line
-    # the relay is behind what the subscriber has: nothing until it passes
+    # The relay is behind the subscriber, so it sends nothing until it has a newer version.
     relay.apply(topic_update(CONFIG, Version(EPOCH, 3), {"routes": 1}, is_snapshot=True), Version(EPOCH, 3))
     assert subscriptions.topics_changed(CONFIG) == [] and b'"more"' not in (
         subscriptions.heartbeat("u", session) or b""
@@ -145,7 +149,9 @@
     assert scene.batch("u") == [] and scene.subscriptions.unused_topics.keys() == {"boxes/0"}
     receiver.store.subscribe(["boxes/7"])
     assert receiver.due_requests(0.0) == {"boxes/7": NO_VERSION}
-    assert not any(receiver.due_requests(float(now)) for now in range(1, 100)), "asked for once on a stream"
+    assert not any(receiver.due_requests(float(now)) for now in range(1, 100)), (
+        "a topic is requested once on a stream"
+    )
     receiver.stream_started(100.0)
     assert receiver.due_requests(200.0) == {}
     assert not scene.subscriptions.add_topics("u", session + 1, {})
@@ -157,7 +163,8 @@
     scene.join("u")
     scene.settle("u")
     scene.change(("boxes/0", "k", 1))
-    assert scene.subscriptions.next_batch("u", scene.sessions["u"], 1000) is not None  # lost
+    # This batch is lost.
+    assert scene.subscriptions.next_batch("u", scene.sessions["u"], 1000) is not None
     scene.change(("boxes/0", "l", 1))
     scene.batch("u")
     receiver = scene.receivers["u"]
