--- a/gullmount/distribution/subscription.py
+++ b/gullmount/distribution/subscription.py
@@ -85,7 +85,8 @@
         self.in_force: dict[str, Version] = {}
         # Version up to which the topic was complete at the subscriber when it subscribed.
         self.complete_as_of: dict[str, Version] = {}
-        # First version sent of each topic that has no version known to be in force.
+        # For topics with no version known to be in force: the first version sent, or the version held when
+        # the topic was subscribed.
         self.first_sent: dict[str, Version] = {}
         # Unsent configuration topics and unsent endpoint topics, in this order.
         self.unsent: tuple[dict[str, None], dict[str, None]] = {}, {}
--- a/gullmount/distribution/subscriptions.py
+++ b/gullmount/distribution/subscriptions.py
@@ -56,7 +56,7 @@
 
         Args:
             store: Holds the topics.
-            max_subscribers: Limit above which `subscribe` refuses new names.
+            max_subscribers: Maximum number of subscribers, including disconnected ones that are still kept.
             grace_seconds: How long a disconnected subscriber is kept.
         """
         self.store = store
