--- a/gullmount/distribution/origin_storage.py
+++ b/gullmount/distribution/origin_storage.py
@@ -223,8 +223,8 @@
     def append_line(self, line: bytes) -> int:
         """Append a line to the change log and return the size of the log in bytes.
 
-        Raises OSError if the write fails, and first removes what was written. Raises ChangeLogUnusableError if an earlier
-        write failed and could not be undone.
+        Raises OSError if the write fails, and first removes what was written. Raises
+        ChangeLogUnusableError if an earlier write failed and could not be undone.
         """
         if self.write_failed:
             raise ChangeLogUnusableError(self.change_log)
