--- a/gullmount/distribution/subscriber_progress.py
+++ b/gullmount/distribution/subscriber_progress.py
@@ -1,6 +1,6 @@
-"""Up to which version everything is in force at a subscriber, and a zone's summary of that.
+"""Computes up to which version everything is in force at a subscriber, and summarizes this by zone.
 
-No I/O, clock or randomness.
+The module performs no I/O and uses neither a clock nor randomness.
 """
 
 from __future__ import annotations
@@ -20,13 +20,20 @@
 
 
 def rejects_newest(subscription: Subscription, topic: str, store: TopicStore) -> bool:
-    """Whether the subscriber can't use the newest version of the topic."""
+    """Return whether the subscriber rejected the newest version of the topic."""
     rejection = subscription.rejections.get(topic)
     return rejection is not None and rejection.version >= store.version(topic) > NO_VERSION
 
 
 def in_force_up_to(subscription: Subscription, topic: str, version: Version, store: TopicStore) -> Version:
-    """Up to which version all of a topic is in force, where `version` of it is and a newer one exists."""
+    """Return the version up to which all changes of a topic are in force.
+
+    Args:
+        subscription: Subscription to the topic.
+        topic: Topic to examine. Its newest version is not in force, or the store has a gap in it.
+        version: Version of the topic that counts as in force.
+        store: Store that holds the topic.
+    """
     log = store.logs.get(topic)
     gap = store.gaps.get(topic)
     if log is not None and version < log.version:
@@ -38,8 +45,11 @@
     return version if gap is None else min(version, gap)
 
 
-def progress_of(subscription: Subscription, store: TopicStore) -> SubscriberProgress:
-    """The subscriber's progress; topics that it never had count as starting, not for the versions."""
+def compute_subscriber_progress(subscription: Subscription, store: TopicStore) -> SubscriberProgress:
+    """Compute the progress of a subscriber.
+
+    Topics that the subscriber never received set `is_starting` and don't affect the versions.
+    """
     rejected = {topic for topic in subscription.rejections if rejects_newest(subscription, topic, store)}
     lowest: Version | None = None
     lowest_used: Version | None = None
@@ -49,23 +59,30 @@
         if version == NO_VERSION:
             is_starting = True
             continue
-        reached = in_force_up_to(subscription, topic, version, store)
-        if lowest_used is None or reached < lowest_used:
-            lowest_used = reached
+        reached_version = in_force_up_to(subscription, topic, version, store)
+        if lowest_used is None or reached_version < lowest_used:
+            lowest_used = reached_version
         if topic not in rejected:
             is_behind = True
-            if lowest is None or reached < lowest:
-                lowest = reached
+            if lowest is None or reached_version < lowest:
+                lowest = reached_version
     return SubscriberProgress(lowest, lowest_used, is_starting, is_behind, bool(rejected))
 
 
-def zone_summary(
+def summarize_zone(
     count: int,
     unsettled: Iterable[Subscription],
     progress: Callable[[Subscription], SubscriberProgress],
     as_of: Version,
 ) -> InForceSummary:
-    """The summary of a zone's `count` subscribers; all but the `unsettled` have everything in force."""
+    """Summarize the subscribers of a zone.
+
+    Args:
+        count: Number of subscribers in the zone.
+        unsettled: Subscriptions to examine. All other subscribers have everything in force.
+        progress: Returns the progress of a subscription.
+        as_of: Version up to which the store is current.
+    """
     lowest, lowest_used = as_of, as_of
     starting = unusable = 0
     behind: list[LaggingSubscriber] = []
@@ -74,15 +91,17 @@
     for subscription in unsettled:
         if subscription.disconnected_at is not None:
             disconnected.append(subscription.name)
-        found = progress(subscription)
-        reached = as_of if found.lowest is None else min(as_of, found.lowest)
-        lowest = min(lowest, reached)
-        if found.lowest_used is not None:
-            lowest_used = min(lowest_used, found.lowest_used)
-        starting += found.is_starting
-        unusable += found.rejects_newest
-        if found.is_behind and not found.is_starting:
-            behind.append(LaggingSubscriber(subscription.name, reached))
+        subscriber_progress = progress(subscription)
+        reached_version = (
+            as_of if subscriber_progress.lowest is None else min(as_of, subscriber_progress.lowest)
+        )
+        lowest = min(lowest, reached_version)
+        if subscriber_progress.lowest_used is not None:
+            lowest_used = min(lowest_used, subscriber_progress.lowest_used)
+        starting += subscriber_progress.is_starting
+        unusable += subscriber_progress.rejects_newest
+        if subscriber_progress.is_behind and not subscriber_progress.is_starting:
+            behind.append(LaggingSubscriber(subscription.name, reached_version))
         unusable_versions += [
             UnusableVersion(subscription.name, topic, rejection.version, rejection.reason)
             for topic, rejection in subscription.rejections.items()
@@ -103,7 +122,11 @@
             nsmallest(
                 MAX_LISTED_SUBSCRIBERS,
                 unusable_versions,
-                key=lambda found: (found.version, found.subscriber, found.topic),
+                key=lambda unusable_version: (
+                    unusable_version.version,
+                    unusable_version.subscriber,
+                    unusable_version.topic,
+                ),
             )
         ),
         disconnected_names=tuple(nsmallest(MAX_LISTED_SUBSCRIBERS, disconnected)),
--- a/tests/distribution/test_subscriptions.py
+++ b/tests/distribution/test_subscriptions.py
@@ -1,4 +1,4 @@
-"""Subscribers of a server: what they are sent, and what they report."""
+"""Tests what subscribers are sent and how their reports are recorded."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.support.subscription_scene import CONFIG, EPOCH, PAY, Scene, entries_of, topic_update
 
 
-def test_subscriber_that_read_nothing_gets_only_the_newest() -> None:
+def test_subscriber_that_reads_nothing_gets_only_the_newest_versions() -> None:
     scene = Scene(services=2)
     scene.join("u")
     scene.settle("u")
@@ -38,20 +38,24 @@
             scene.settle(f"u-{number}")
     random = Random(35)
 
-    def churn(steps: int) -> None:
+    def change_topics(steps: int) -> None:
         for step in range(steps):
             name = scene.names[step % len(scene.names)]
-            passing = f"passing-{random.randrange(40)}"
-            scene.change((name, "k", step % 10), (name, passing, random.choice([None, 1])))
+            temporary_key = f"passing-{random.randrange(40)}"
+            scene.change((name, "k", step % 10), (name, temporary_key, random.choice([None, 1])))
 
-    tracemalloc.start()  # before the first, as each change replaces what was there
-    held = []
+    # Tracing starts before the first changes because each change replaces earlier allocations.
+    tracemalloc.start()
+    allocated_bytes = []
     for _ in range(2):
-        churn(15_000)  # the first time to what is bounded: keys, tombstones
+        # The first round fills everything that is bounded, such as keys and tombstones.
+        change_topics(15_000)
         gc.collect()
-        held.append(tracemalloc.get_traced_memory()[0])
+        allocated_bytes.append(tracemalloc.get_traced_memory()[0])
     tracemalloc.stop()
-    assert held[1] - held[0] < 20_000, f"{held} bytes after 15,000 and 30,000 changes"
+    assert allocated_bytes[1] - allocated_bytes[0] < 20_000, (
+        f"{allocated_bytes} bytes after 15,000 and 30,000 changes"
+    )
     for subscriber in scene.subscriptions.by_subscriber.values():
         assert sum(map(len, subscriber.unsent)) <= 40 and len(subscriber.not_in_force) <= 40
 
@@ -72,18 +76,19 @@
     )
 
 
-def test_topics_take_turns_and_configuration_goes_first() -> None:
+def test_configuration_and_endpoints_alternate_and_configuration_goes_first() -> None:
     scene = Scene(services=4)
     scene.join("u")
     assert scene.batch("u", 1) == ["config/0"]
     scene.settle("u")
     scene.change(("boxes/0", "k", 1), ("boxes/1", "k", 1), ("boxes/2", "k", 1), ("config/3", "k", 1))
-    order = []
-    for _ in range(8):  # boxes/0 and config/3 change all the time
-        order += scene.batch("u", 1)
-        scene.change(("boxes/0", "k", len(order) + 10), ("config/3", "k", len(order) + 10))
-    assert order[0] == "config/3"
-    assert {"boxes/1", "boxes/2"} <= set(order[:6]) and order.count("config/3") == 4
+    sent_topics = []
+    # boxes/0 and config/3 change before every batch but the first.
+    for _ in range(8):
+        sent_topics += scene.batch("u", 1)
+        scene.change(("boxes/0", "k", len(sent_topics) + 10), ("config/3", "k", len(sent_topics) + 10))
+    assert sent_topics[0] == "config/3"
+    assert {"boxes/1", "boxes/2"} <= set(sent_topics[:6]) and sent_topics.count("config/3") == 4
 
 
 def test_new_stream_of_a_subscriber_ends_the_earlier_one() -> None:
@@ -104,7 +109,8 @@
     scene.join("u")
     scene.settle("u")
     scene.change(("boxes/0", "k", 7))
-    assert scene.subscriptions.next_batch("u", scene.sessions["u"], 1000) is not None  # lost with the stream
+    # This batch is lost with the stream.
+    assert scene.subscriptions.next_batch("u", scene.sessions["u"], 1000) is not None
     scene.subscriptions.disconnect("u", scene.sessions["u"], 1.0)
     scene.join("u", now=2.0)
     assert scene.batch("u") == ["boxes/0"] and entries_of(scene.receivers["u"].store, "boxes/0") == {"k": 7}
@@ -121,7 +127,7 @@
     assert subscriptions.topics_changed(PAY) == ["u"]
     batch = subscriptions.next_batch("u", session, 1000)
     assert batch is not None and batch.topics == 1 and b'"more":true' in batch.line
-    # the relay is behind what the subscriber has: nothing until it passes
+    # The relay is behind the subscriber, so it sends nothing until it has a newer version.
     relay.apply(topic_update(CONFIG, Version(EPOCH, 3), {"routes": 1}, is_snapshot=True), Version(EPOCH, 3))
     assert subscriptions.topics_changed(CONFIG) == [] and b'"more"' not in (
         subscriptions.heartbeat("u", session) or b""
@@ -143,7 +149,9 @@
     assert scene.batch("u") == [] and scene.subscriptions.unused_topics.keys() == {"boxes/0"}
     receiver.store.subscribe(["boxes/7"])
     assert receiver.due_requests(0.0) == {"boxes/7": NO_VERSION}
-    assert not any(receiver.due_requests(float(now)) for now in range(1, 100)), "asked for once on a stream"
+    assert not any(receiver.due_requests(float(now)) for now in range(1, 100)), (
+        "a topic is requested once on a stream"
+    )
     receiver.stream_started(100.0)
     assert receiver.due_requests(200.0) == {}
     assert not scene.subscriptions.add_topics("u", session + 1, {})
@@ -155,7 +163,8 @@
     scene.join("u")
     scene.settle("u")
     scene.change(("boxes/0", "k", 1))
-    assert scene.subscriptions.next_batch("u", scene.sessions["u"], 1000) is not None  # lost
+    # This batch is lost.
+    assert scene.subscriptions.next_batch("u", scene.sessions["u"], 1000) is not None
     scene.change(("boxes/0", "l", 1))
     scene.batch("u")
     receiver = scene.receivers["u"]
@@ -164,7 +173,7 @@
     assert scene.batch("u") == ["boxes/0"] and entries_of(receiver.store, "boxes/0") == {"k": 1, "l": 1}
 
 
-def test_unused_topics_are_returned_once_after_a_while() -> None:
+def test_unused_topics_are_returned_once_after_the_timeout() -> None:
     scene = Scene(services=2, grace=5.0)
     scene.join("u", topics=["boxes/0"])
     scene.join("v", topics=["boxes/0", "boxes/1"])
@@ -177,7 +186,7 @@
     assert set(scene.subscriptions.by_topic) == {"boxes/0"}
 
 
-def test_subscribers_are_bounded() -> None:
+def test_subscriber_beyond_the_limit_is_refused() -> None:
     subscriptions = Subscriptions(TopicStore(epoch=EPOCH), max_subscribers=2)
     subscriptions.subscribe("u", "a", {}, 0.0)
     subscriptions.subscribe("v", "a", {}, 0.0)
@@ -186,7 +195,7 @@
     subscriptions.subscribe("v", "a", {}, 0.0)
 
 
-def test_late_repeated_or_foreign_acknowledgement_changes_nothing() -> None:
+def test_late_or_repeated_acknowledgement_or_one_of_an_unsubscribed_topic_changes_nothing() -> None:
     scene = Scene()
     scene.join("u", topics=["config/0"])
     scene.settle("u")
@@ -209,23 +218,23 @@
     for number in range(100):
         scene.join(f"u-{number}", topics=[f"boxes/{number % 50}", f"config/{number % 50}"])
         scene.settle(f"u-{number}")
-    looked: Counter[tuple[str, str]] = Counter()
-    plain = Subscriptions.refresh
+    refresh_counts: Counter[tuple[str, str]] = Counter()
+    original_refresh_topic = Subscriptions.refresh_topic
 
-    def counted(subscriptions: Subscriptions, subscriber: Subscription, topic: str) -> None:
-        looked[subscriber.name, topic] += 1
-        plain(subscriptions, subscriber, topic)
+    def count_refresh(subscriptions: Subscriptions, subscriber: Subscription, topic: str) -> None:
+        refresh_counts[subscriber.name, topic] += 1
+        original_refresh_topic(subscriptions, subscriber, topic)
 
-    monkeypatch.setattr(Subscriptions, "refresh", counted)
+    monkeypatch.setattr(Subscriptions, "refresh_topic", count_refresh)
     scene.change(("boxes/7", "k", 1), ("config/8", "k", 1))
-    endpoint_changes, config = "boxes/7", "config/8"
-    assert looked.keys() == {
-        ("u-7", endpoint_changes),
-        ("u-57", endpoint_changes),
-        ("u-8", config),
-        ("u-58", config),
+    endpoints_topic, config_topic = "boxes/7", "config/8"
+    assert refresh_counts.keys() == {
+        ("u-7", endpoints_topic),
+        ("u-57", endpoints_topic),
+        ("u-8", config_topic),
+        ("u-58", config_topic),
     }
-    assert set(looked.values()) == {1}
-    looked.clear()
+    assert set(refresh_counts.values()) == {1}
+    refresh_counts.clear()
     scene.settle("u-7")
-    assert looked == {("u-7", "boxes/7"): 1}
+    assert refresh_counts == {("u-7", "boxes/7"): 1}
