--- a/gullmount/distribution/http_interface.py
+++ b/gullmount/distribution/http_interface.py
@@ -18,11 +18,11 @@
 UNAVAILABLE = 503
 
 
-def json_answer(fields: Mapping[str, object]) -> Response:
+def json_response(fields: Mapping[str, object]) -> Response:
     """The answer 200 with a JSON object of these fields and the protocol's version."""
     return Response(OK, msgspec.json.encode({"v": MESSAGE_VERSION, **fields}))
 
 
-def text_answer(status: int, text: str) -> Response:
+def text_response(status: int, text: str) -> Response:
     """An answer of one plain line."""
     return Response(status, f"{text}\n".encode())
--- a/gullmount/distribution/origin.py
+++ b/gullmount/distribution/origin.py
@@ -24,8 +24,8 @@
     IN_FORCE_PATH,
     TOO_LARGE,
     UNAVAILABLE,
-    json_answer,
-    text_answer,
+    json_response,
+    text_response,
 )
 from gullmount.distribution.in_force_summary import RelaySummaries
 from gullmount.distribution.log_events import LogEvent
@@ -193,7 +193,7 @@
 
     # Requests
 
-    async def answer_other(self, asked: Request, path: str) -> Response | None:
+    async def handle_other_request(self, asked: Request, path: str) -> Response | None:
         """Changes, relays' reports, and what is in force."""
         if path == CHANGES_PATH and asked.method == "POST":
             return await self.answer_changes(asked)
@@ -202,7 +202,7 @@
         if path == IN_FORCE_PATH and asked.method == "GET":
             zones = self.relay_summaries.summary(self.clock())
             silent = sorted(self.config.relays.keys() - self.relay_summaries.relays.keys())
-            return json_answer({"as_of": self.store.as_of, "zones": zones, "silent": silent})
+            return json_response({"as_of": self.store.as_of, "zones": zones, "silent": silent})
         return None
 
     def answer_relay_summary(self, asked: Request) -> Response:
@@ -210,11 +210,11 @@
         report = decoding.parse_relay_summary(asked.body, self.wall())
         if report.relay not in self.config.relays:
             self.log(LogEvent.SUMMARY_FROM_UNKNOWN_RELAY, relay=report.relay)
-            return text_answer(FORBIDDEN, "not named")
+            return text_response(FORBIDDEN, "not named")
         if not report.zones.keys() <= self.zones:
             raise MalformedMessageError("zones", "not known here")
         self.relay_summaries.record(report.relay, report.zones, self.clock())
-        return json_answer({})
+        return json_response({})
 
     async def answer_changes(self, asked: Request) -> Response:
         """Make changes and answer with their version."""
@@ -223,13 +223,13 @@
         try:
             version = await self.store_and_commit(changes, request.complete_topics)
         except IncompleteTopicError as error:
-            return text_answer(CONFLICT, str(error))
+            return text_response(CONFLICT, str(error))
         except TopicTooLargeError as error:
-            return text_answer(TOO_LARGE, str(error))
+            return text_response(TOO_LARGE, str(error))
         except OSError as error:
             self.log(LogEvent.CHANGES_NOT_STORED, reason=error.strerror)
-            return text_answer(UNAVAILABLE, "not kept")
-        return json_answer({"version": version})
+            return text_response(UNAVAILABLE, "not kept")
+        return json_response({"version": version})
 
     # Relays
 
--- a/gullmount/distribution/relay.py
+++ b/gullmount/distribution/relay.py
@@ -19,7 +19,7 @@
     RefreshInProgressError,
     TooManyTopicsError,
 )
-from gullmount.distribution.http_interface import IN_FORCE_PATH, OK, json_answer
+from gullmount.distribution.http_interface import IN_FORCE_PATH, OK, json_response
 from gullmount.distribution.in_force_summary import InForceSummary
 from gullmount.distribution.log_events import LogEvent
 from gullmount.distribution.messages import RelaySummaryReport, SubscribeRequest
@@ -207,10 +207,10 @@
         self.store.unsubscribe(topics)
         self.upstream.remove_topics(topics)
 
-    async def answer_other(self, asked: Request, path: str) -> Response | None:
+    async def handle_other_request(self, asked: Request, path: str) -> Response | None:
         """What is in force at its subscribers."""
         if asked.method == "GET" and path == IN_FORCE_PATH:
-            return json_answer({"as_of": self.store.as_of, "zones": self.subscriptions.summary()})
+            return json_response({"as_of": self.store.as_of, "zones": self.subscriptions.summary()})
         return None
 
 
--- a/gullmount/distribution/relay_selection.py
+++ b/gullmount/distribution/relay_selection.py
@@ -160,7 +160,7 @@
         health.failures = min(health.failures + 1, MAX_FAILURES)
         health.not_before = now + wait * (1.0 - BACKOFF_JITTER * self.random.random())
 
-    def turned_down(self, relay: RelayEndpoint, now: float, retry_after: float | None) -> None:
+    def refused(self, relay: RelayEndpoint, now: float, retry_after: float | None) -> None:
         """Note that the relay answered with an error status; `retry_after` in seconds, if it said so.
 
         With that it has nothing to send yet, and is no worse for it.
--- a/gullmount/distribution/subscriber_server.py
+++ b/gullmount/distribution/subscriber_server.py
@@ -18,8 +18,8 @@
     OK,
     SUBSCRIBE_PATH,
     UNAVAILABLE,
-    json_answer,
-    text_answer,
+    json_response,
+    text_response,
 )
 from gullmount.distribution.log_events import LogEvent
 from gullmount.distribution.messages import SubscribeRequest
@@ -92,7 +92,7 @@
     def on_topics_requested(self, topics: Collection[str]) -> None:
         """A subscriber asks for these topics."""
 
-    async def answer_other(self, asked: Request, path: str) -> Response | None:
+    async def handle_other_request(self, asked: Request, path: str) -> Response | None:
         """An answer to a request that is no subscriber's, or None; raises what `answer` handles."""
         raise NotImplementedError
 
@@ -137,7 +137,7 @@
             self.check_clock()
             if asked.method == "POST" and path == SUBSCRIBE_PATH:
                 return await self.answer_subscribe(asked, stream)
-            said = await self.answer_other(asked, path)
+            said = await self.handle_other_request(asked, path)
             if said is not None:
                 return said
             if asked.method == "POST" and path == IN_FORCE_PATH:
@@ -147,7 +147,7 @@
         except UnavailableError as error:
             retry_after = {"retry-after-ms": f"{RETRY_AFTER_SECONDS * 1000:.0f}"}
             return Response(UNAVAILABLE, f"{error}\n".encode(), retry_after)
-        return text_answer(NOT_FOUND, "nothing here")
+        return text_response(NOT_FOUND, "nothing here")
 
     def answer_malformed(self, stream: Stream, error: InvalidMessageError) -> Response:
         """The answer to a request that could not be decoded."""
@@ -158,7 +158,7 @@
             reason=str(error),
             count=self.malformed_messages,
         )
-        return text_answer(BAD_REQUEST, "not understood")
+        return text_response(BAD_REQUEST, "not understood")
 
     # Subscribers
 
@@ -202,22 +202,22 @@
         name, now = message.subscriber, self.clock()
         update_stream = self.streams.get(name)
         if update_stream is None:
-            return text_answer(NOT_FOUND, "no such stream")
+            return text_response(NOT_FOUND, "no such stream")
         self.check_admission(message)
         session = update_stream.session
         self.subscriptions.remove_topics(name, session, message.unsubscribe, now)
         if not self.subscriptions.add_topics(name, session, message.held):
-            return text_answer(NOT_FOUND, "no such stream")
+            return text_response(NOT_FOUND, "no such stream")
         self.on_topics_requested(message.held.keys())
         update_stream.wake.set()
-        return json_answer({})
+        return json_response({})
 
     def answer_acknowledgement(self, asked: Request) -> Response:
         """Take in a subscriber's report."""
         report = decoding.parse_acknowledgement(asked.body, self.wall())
         if not self.subscriptions.acknowledge(report.subscriber, report.in_force, report.rejections):
-            return text_answer(NOT_FOUND, "no such follower")
-        return json_answer({})
+            return text_response(NOT_FOUND, "no such follower")
+        return json_response({})
 
     def stream_closed(self, stream: UpdateStream) -> None:
         """A stream has ended."""
--- a/gullmount/distribution/subscription_client.py
+++ b/gullmount/distribution/subscription_client.py
@@ -122,7 +122,7 @@
     def note_failure(self, relay: RelayEndpoint, error: CallError) -> None:
         """The stream broke, or the relay turned it down."""
         if error.status:
-            self.selector.turned_down(relay, self.clock(), error.retry_after_seconds)
+            self.selector.refused(relay, self.clock(), error.retry_after_seconds)
         else:
             self.selector.failed(relay, self.clock(), hung=isinstance(error, SilentPeerError))
         self.log(LogEvent.SUBSCRIPTION_ENDED, relay=relay.address, reason=str(error))
--- a/tests/distribution/test_relay_selection.py
+++ b/tests/distribution/test_relay_selection.py
@@ -132,17 +132,17 @@
 def test_relay_with_retry_after_is_avoided_for_that_time() -> None:
     subscriber = RelaySelector(fleet("ab"), "a", Random(1))
     home, other = subscriber.relays
-    subscriber.turned_down(home, 0.0, 10.0)
+    subscriber.refused(home, 0.0, 10.0)
     assert subscriber.next_connection(0.0).relay == other and subscriber.next_connection(8.0).relay == other
     assert subscriber.next_connection(10.0 * (1 + relay_selection.BACKOFF_JITTER)).relay == home
-    subscriber.turned_down(home, 100.0, 1e9)
+    subscriber.refused(home, 100.0, 1e9)
     assert (
         subscriber.next_connection(
             100.0 + relay_selection.MAX_RETRY_AFTER_SECONDS * (1 + relay_selection.BACKOFF_JITTER)
         ).relay
         == home
     )
-    subscriber.turned_down(home, 200.0, None)
+    subscriber.refused(home, 200.0, None)
     assert subscriber.health[home.address].failures == 1
 
 
--- a/tests/support/interleaving_nodes.py
+++ b/tests/support/interleaving_nodes.py
@@ -214,7 +214,7 @@
         elif server.stopped_until > world.now:
             world.after(RESPONSE_TIMEOUT_SECONDS, lambda: self.hung(relay), self)
         elif not server.ready():
-            self.selector.turned_down(relay, world.now, 1.0)
+            self.selector.refused(relay, world.now, 1.0)
             self.dial()
         else:
             body = encoding.encode(
