--- a/gullmount/distribution/config.py
+++ b/gullmount/distribution/config.py
@@ -15,7 +15,7 @@
 from gullmount.proxy.config import Address, DiscoveryConfig, ProxyConfig
 from gullmount.yamlfile import YamlModel
 
-UNUSED_ADDRESS = "127.0.0.1:1"  # of a discovery service that is never asked
+UNUSED_DISCOVERY_ADDRESS = "127.0.0.1:1"  # of a discovery service that is never asked
 Name = Annotated[str, Field(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9._-]+$")]
 
 
@@ -78,7 +78,7 @@
 
     @field_validator("relays")
     @classmethod
-    def of_known_zones(cls, relays: dict[str, str], info: ValidationInfo) -> dict[str, str]:
+    def check_relay_zones(cls, relays: dict[str, str], info: ValidationInfo) -> dict[str, str]:
         """Refuse a relay of a zone that is not listed."""
         for name, zone in relays.items():
             if "zones" in info.data and zone not in info.data["zones"]:
@@ -101,14 +101,14 @@
 
     @field_validator("zone")
     @classmethod
-    def known(cls, zone: str, info: ValidationInfo) -> str:
+    def check_zone(cls, zone: str, info: ValidationInfo) -> str:
         """Refuse a zone that is not listed."""
         if "zones" in info.data and zone not in info.data["zones"]:
             raise UnlistedZoneError(zone)
         return zone
 
     @model_validator(mode="after")
-    def not_its_own_origin(self) -> Self:
+    def check_source(self) -> Self:
         """Refuse a relay that subscribes to itself."""
         if self.source == self.listen:
             raise OwnOriginError
@@ -134,7 +134,7 @@
 
     @field_validator("at")
     @classmethod
-    def named_once(cls, at: list[RelayEntry]) -> list[RelayEntry]:
+    def check_duplicate_relays(cls, at: list[RelayEntry]) -> list[RelayEntry]:
         """Refuse a name or an address that is there twice."""
         for names in ([relay.name for relay in at], [relay.address for relay in at]):
             if duplicates(names):
@@ -143,7 +143,7 @@
 
     @field_validator("services")
     @classmethod
-    def fronted_once(cls, services: list[str]) -> list[str]:
+    def check_duplicate_services(cls, services: list[str]) -> list[str]:
         """Refuse a service that is there twice."""
         if len(set(services)) < len(services):
             raise DuplicateServiceError
@@ -157,7 +157,7 @@
 
     @field_validator("relays")
     @classmethod
-    def of_known_zones(
+    def check_own_zone(
         cls, relays: SubscriptionConfig | None, info: ValidationInfo
     ) -> SubscriptionConfig | None:
         """Refuse relays of which none is in the proxy's own zone."""
@@ -168,12 +168,12 @@
 
     @model_validator(mode="before")
     @classmethod
-    def roster_not_needed(cls, data: Any) -> Any:
+    def add_unused_discovery_address(cls, data: Any) -> Any:
         """Where relays are subscribed to, no discovery service is asked, whether one is named or not."""
         if isinstance(data, dict) and isinstance(data.get("relays"), dict) and "roster" not in data:
             section = data["relays"]
             if section.get("switched_on") is True and isinstance(section.get("at"), list):
-                return {**data, "roster": {"address": UNUSED_ADDRESS, "how": "ask"}}
+                return {**data, "roster": {"address": UNUSED_DISCOVERY_ADDRESS, "how": "ask"}}
         return data
 
     @property
@@ -183,9 +183,11 @@
 
     def without_discovery(self) -> Self:
         """The same for a proxy that receives its endpoints from relays: it asks no discovery service."""
-        return self.model_copy(update={"roster": DiscoveryConfig(address=UNUSED_ADDRESS, how="ask")})
+        return self.model_copy(
+            update={"roster": DiscoveryConfig(address=UNUSED_DISCOVERY_ADDRESS, how="ask")}
+        )
 
     def instance_settings(self, seed: int, restarted: bool) -> InstanceSettings:
         """The instance's settings; a subscribing proxy watches no endpoints of its own."""
-        made = super().instance_settings(seed, restarted)
-        return replace(made, may_watch_endpoints=False) if self.subscribes else made
+        settings = super().instance_settings(seed, restarted)
+        return replace(settings, may_watch_endpoints=False) if self.subscribes else settings
--- a/gullmount/distribution/endpoint_table.py
+++ b/gullmount/distribution/endpoint_table.py
@@ -95,11 +95,11 @@
 
     def listing(self, address: str, entry: Entry) -> Entry:
         """The endpoint as a discovery service lists it: its age is of now."""
-        line = {"start": None, "age": None, **entry, ADDRESS_FIELD: address}
-        since = line.pop("since", None)
+        fields = {"start": None, "age": None, **entry, ADDRESS_FIELD: address}
+        since = fields.pop("since", None)
         if isinstance(since, int | float):
-            line["age"] = max(0.0, self.wall() - since)
-        return line
+            fields["age"] = max(0.0, self.wall() - since)
+        return fields
 
     def current_listing(self, address: str) -> Entry:
         """The endpoint as the service that listed it last has it, or that it was removed."""
@@ -110,5 +110,5 @@
 
     def discovery_message(self, kind: str, index: int, addresses: Iterable[str]) -> bytes:
         """A discovery service's message (`full` or `changes`) of these endpoints."""
-        lines = [self.current_listing(address) for address in addresses]
-        return msgspec.json.encode({"v": MESSAGE_VERSION, "kind": kind, "index": index, "boxes": lines})
+        listings = [self.current_listing(address) for address in addresses]
+        return msgspec.json.encode({"v": MESSAGE_VERSION, "kind": kind, "index": index, "boxes": listings})
--- a/gullmount/distribution/relay.py
+++ b/gullmount/distribution/relay.py
@@ -138,13 +138,13 @@
 
     def origin_silent_seconds(self) -> float:
         """Since when the origin was not heard, where that is to be said; else 0."""
-        silent = self.clock() - self.upstream.last_line_at
-        return silent if silent > ORIGIN_SILENCE_SECONDS else 0.0
+        silent_seconds = self.clock() - self.upstream.last_line_at
+        return silent_seconds if silent_seconds > ORIGIN_SILENCE_SECONDS else 0.0
 
     async def report_loop(self) -> None:
         """Report the summary to the origin, if it changed or the last is old, until cancelled."""
-        calls = ConnectionPool(self.network)
-        last: dict[str, InForceSummary] = {}
+        pool = ConnectionPool(self.network)
+        last_summary: dict[str, InForceSummary] = {}
         reported_at = NEVER
         try:
             while True:
@@ -153,19 +153,19 @@
                 if self.upstream.connected_relay is None:
                     continue
                 zones = self.subscriptions.summary()
-                if zones == last and self.clock() - reported_at < REPORT_SECONDS:
+                if zones == last_summary and self.clock() - reported_at < REPORT_SECONDS:
                     continue
-                if await self.send_summary(calls, zones):
-                    last, reported_at = zones, self.clock()
+                if await self.send_summary(pool, zones):
+                    last_summary, reported_at = zones, self.clock()
         finally:
-            await calls.aclose()
+            await pool.aclose()
 
-    async def send_summary(self, calls: ConnectionPool, zones: dict[str, InForceSummary]) -> bool:
+    async def send_summary(self, pool: ConnectionPool, zones: dict[str, InForceSummary]) -> bool:
         """Whether the origin accepted the summary."""
         body = encode(RelaySummaryReport(self.config.name, zones))
         try:
             with anyio.fail_after(REPORT_TIMEOUT_SECONDS):
-                status, _ = await calls.call(self.config.source, "POST", IN_FORCE_PATH, body)
+                status, _ = await pool.call(self.config.source, "POST", IN_FORCE_PATH, body)
         except (CallError, TimeoutError) as error:
             self.log(LogEvent.SUMMARY_REPORT_FAILED, reason=str(error) or "no answer in time")
             return False
@@ -207,9 +207,9 @@
         self.store.unsubscribe(topics)
         self.upstream.remove_topics(topics)
 
-    async def handle_other_request(self, asked: Request, path: str) -> Response | None:
+    async def handle_other_request(self, request: Request, path: str) -> Response | None:
         """What is in force at its subscribers."""
-        if asked.method == "GET" and path == IN_FORCE_PATH:
+        if request.method == "GET" and path == IN_FORCE_PATH:
             return json_response({"as_of": self.store.as_of, "zones": self.subscriptions.summary()})
         return None
 
--- a/gullmount/distribution/relay_selection.py
+++ b/gullmount/distribution/relay_selection.py
@@ -82,7 +82,7 @@
         known now: a relay that has just failed is not tried at once though the spread would let it.
         """
         spread = MOVE_SPREAD_SECONDS if self.started else START_SPREAD_SECONDS
-        at = now + self.random.random() * spread
+        earliest = now + self.random.random() * spread
         self.started = True
         for own_zone in (True, False):
             usable = [
@@ -91,9 +91,9 @@
                 if (relay.zone == self.zone) is own_zone and self.health[relay.address].not_before <= now
             ]
             if usable:
-                return ConnectionPlan(self.random.choice(usable), at)
-        first = min(self.relays, key=lambda relay: self.health[relay.address].not_before)
-        return ConnectionPlan(first, max(at, self.health[first.address].not_before))
+                return ConnectionPlan(self.random.choice(usable), earliest)
+        first_available = min(self.relays, key=lambda relay: self.health[relay.address].not_before)
+        return ConnectionPlan(first_available, max(earliest, self.health[first_available.address].not_before))
 
     def connected(self, relay: RelayEndpoint, now: float) -> None:
         """Note that the relay's stream has begun."""
@@ -129,8 +129,8 @@
         """Whether to leave a working stream: its relay stays behind, or the own zone is to be tried again."""
         if self.current is None or len(self.relays) == 1:
             return False
-        patience = MAX_LAG_SECONDS * 2**self.moves_while_behind
-        if self.behind_since is not None and now - self.behind_since >= patience:
+        max_lag_seconds = MAX_LAG_SECONDS * 2**self.moves_while_behind
+        if self.behind_since is not None and now - self.behind_since >= max_lag_seconds:
             return True
         return (
             self.current.zone != self.zone
--- a/gullmount/distribution/route_table.py
+++ b/gullmount/distribution/route_table.py
@@ -40,13 +40,13 @@
         return ROUTES.validate_python(value["routes"])
     except ValidationError as error:
         problems = []
-        for found in error.errors(include_url=False, include_input=False, include_context=False):
-            path = ".".join(["routes", *map(str, found["loc"])])
-            problems.append(f"{path}: {found['msg'].removeprefix('Value error, ')}")
+        for details in error.errors(include_url=False, include_input=False, include_context=False):
+            path = ".".join(["routes", *map(str, details["loc"])])
+            problems.append(f"{path}: {details['msg'].removeprefix('Value error, ')}")
         raise UnusableUpdateError("; ".join(problems[:MAX_PROBLEMS])) from None
 
 
-def matcher_of(route: RouteConfig) -> Matcher:
+def make_matcher(route: RouteConfig) -> Matcher:
     """The route with its pattern."""
     return route, route.match.pattern()
 
@@ -64,7 +64,7 @@
         self.services = services
         self.configurations: dict[str, Configuration] = {}  # in force by service
         self.by_service: dict[str, list[Matcher]] = {}  # the same as routes
-        self.own_routes = [matcher_of(route) for route in config.routes]  # of the file
+        self.own_routes = [make_matcher(route) for route in config.routes]  # of the file
         self.retired: dict[str, float] = {}  # since when, by name
 
     def is_in_force(self, service: str, configuration: Configuration) -> bool:
@@ -89,28 +89,34 @@
         service: str,
         configuration: Configuration,
         routes: list[RouteConfig],
-        known: dict[str, Route],
+        routes_by_name: dict[str, Route],
         now: float,
     ) -> list[Matcher]:
         """Put a service's routes in force for requests from now on; all matchers in their order.
 
         `known`: the router's routes by name, which are brought up to date; `now`: seconds, monotonic.
         """
-        before = {route.name: (route, pattern) for route, pattern in self.by_service.get(service, [])}
+        previous = {route.name: (route, pattern) for route, pattern in self.by_service.get(service, [])}
         self.configurations[service] = configuration
-        self.by_service[service] = [self.reused_matcher(route, before) for route in routes]
+        self.by_service[service] = [self.reused_matcher(route, previous) for route in routes]
         names = {route.name for matchers in self.by_service.values() for route, _ in matchers}
-        restored = [route for route, _ in self.own_routes if route.name in before and route.name not in names]
-        made = self.router_routes([*routes, *restored])
-        known.update(made)
-        self.retire(before, made, now)
-        self.drop_retired(known, now)
+        restored = [
+            route for route, _ in self.own_routes if route.name in previous and route.name not in names
+        ]
+        updated_routes = self.router_routes([*routes, *restored])
+        routes_by_name.update(updated_routes)
+        self.retire(previous, updated_routes, now)
+        self.drop_retired(routes_by_name, now)
         return self.matchers(names)
 
-    def reused_matcher(self, route: RouteConfig, before: Mapping[str, Matcher]) -> Matcher:
+    def reused_matcher(self, route: RouteConfig, previous: Mapping[str, Matcher]) -> Matcher:
         """The route's matcher from before if it is unchanged: a proxy may front thousands of routes."""
-        held = before.get(route.name)
-        return held if held is not None and held[0] == route else matcher_of(route)
+        previous_matcher = previous.get(route.name)
+        return (
+            previous_matcher
+            if previous_matcher is not None and previous_matcher[0] == route
+            else make_matcher(route)
+        )
 
     def matchers(self, names: set[str]) -> list[Matcher]:
         """Matchers of the services, then those of the file whose names no service has."""
@@ -121,16 +127,18 @@
         """Routes as the router knows them."""
         return self.config.model_copy(update={"routes": routes}).instance_settings(0, False).routes
 
-    def retire(self, before: Mapping[str, Matcher], made: Mapping[str, Route], now: float) -> None:
+    def retire(
+        self, previous: Mapping[str, Matcher], updated_routes: Mapping[str, Route], now: float
+    ) -> None:
         """Note since when removed routes are no longer in force."""
-        for name in made:
+        for name in updated_routes:
             self.retired.pop(name, None)
-        for name in before:
+        for name in previous:
             for removed in (name, name + AT_MOST_ONCE_SUFFIX):
-                if removed not in made:
+                if removed not in updated_routes:
                     self.retired[removed] = now
 
-    def drop_retired(self, known: dict[str, Route], now: float) -> None:
+    def drop_retired(self, routes_by_name: dict[str, Route], now: float) -> None:
         """Forget routes that were removed a while ago."""
         for name in [name for name, since in self.retired.items() if now - since > RETIRED_ROUTE_SECONDS]:
-            del self.retired[name], known[name]
+            del self.retired[name], routes_by_name[name]
--- a/gullmount/distribution/subscribed_proxy.py
+++ b/gullmount/distribution/subscribed_proxy.py
@@ -142,12 +142,12 @@
         with anyio.move_on_after(self.subscription.start_within):
             await synced.wait()
         if not synced.is_set():
-            waited = self.subscription.start_within
+            wait_seconds = self.subscription.start_within
             if self.all_remembered:
-                self.log(LogEvent.STARTED_FROM_REMEMBERED_STATE, waited_seconds=waited)
+                self.log(LogEvent.STARTED_FROM_REMEMBERED_STATE, waited_seconds=wait_seconds)
             else:
                 missing = sorted(self.subscriber.store.never_received())[:MAX_MISSING_LOGGED]
-                self.log(LogEvent.WAITING_FOR_RELAY, waited_seconds=waited, missing=missing)
+                self.log(LogEvent.WAITING_FOR_RELAY, waited_seconds=wait_seconds, missing=missing)
                 await synced.wait()
         self.inform_router("full", self.endpoints.listed_by)
         self.router_informed = True
@@ -186,10 +186,10 @@
             return
         routes = [] if value is None else parse_routes(value)
         self.routes.check_names(service, routes)
-        host = self.running.runtime
-        known = cast(dict[str, Route], host.router.settings.routes)
-        matchers = self.routes.replace(service, configuration, routes, known, host.now())
-        cast(GenericAdapter, host.adapter).routes = matchers
+        proxy_runtime = self.running.runtime
+        routes_by_name = cast(dict[str, Route], proxy_runtime.router.settings.routes)
+        matchers = self.routes.replace(service, configuration, routes, routes_by_name, proxy_runtime.now())
+        cast(GenericAdapter, proxy_runtime.adapter).routes = matchers
         self.save_due.set()
 
     # What outlives the process
--- a/gullmount/distribution/subscriber_server.py
+++ b/gullmount/distribution/subscriber_server.py
@@ -92,7 +92,7 @@
     def on_topics_requested(self, topics: Collection[str]) -> None:
         """A subscriber asks for these topics."""
 
-    async def handle_other_request(self, asked: Request, path: str) -> Response | None:
+    async def handle_other_request(self, request: Request, path: str) -> Response | None:
         """An answer to a request that is no subscriber's, or None; raises what `answer` handles."""
         raise NotImplementedError
 
@@ -114,8 +114,8 @@
         limit_kernel_buffers(stream)
         self.open_connections += 1
         try:
-            bounded = DeadlineStream(stream, self.note_stalled)
-            await serve(bounded, self.answer, self.max_body_bytes, self.handler_errors)
+            deadline_stream = DeadlineStream(stream, self.note_stalled)
+            await serve(deadline_stream, self.handle_request, self.max_body_bytes, self.handler_errors)
         finally:
             self.open_connections -= 1
 
@@ -130,26 +130,26 @@
         self.stalled_streams += 1
         self.log(LogEvent.STREAM_STALLED, count=self.stalled_streams)
 
-    async def answer(self, asked: Request, stream: Stream) -> Response:
+    async def handle_request(self, request: Request, stream: Stream) -> Response:
         """The answer to a request."""
         try:
-            path = asked.parse_target().path
+            path = request.parse_target().path
             self.check_clock()
-            if asked.method == "POST" and path == SUBSCRIBE_PATH:
-                return await self.answer_subscribe(asked, stream)
-            said = await self.handle_other_request(asked, path)
-            if said is not None:
-                return said
-            if asked.method == "POST" and path == IN_FORCE_PATH:
-                return self.answer_acknowledgement(asked)
+            if request.method == "POST" and path == SUBSCRIBE_PATH:
+                return await self.handle_subscribe(request, stream)
+            response = await self.handle_other_request(request, path)
+            if response is not None:
+                return response
+            if request.method == "POST" and path == IN_FORCE_PATH:
+                return self.handle_acknowledgement(request)
         except InvalidMessageError as error:
-            return self.answer_malformed(stream, error)
+            return self.handle_malformed_request(stream, error)
         except UnavailableError as error:
             retry_after = {"retry-after-ms": f"{RETRY_AFTER_SECONDS * 1000:.0f}"}
             return Response(UNAVAILABLE, f"{error}\n".encode(), retry_after)
         return text_response(NOT_FOUND, "nothing here")
 
-    def answer_malformed(self, stream: Stream, error: InvalidMessageError) -> Response:
+    def handle_malformed_request(self, stream: Stream, error: InvalidMessageError) -> Response:
         """The answer to a request that could not be decoded."""
         self.malformed_messages += 1
         self.log(
@@ -162,11 +162,11 @@
 
     # Subscribers
 
-    async def answer_subscribe(self, asked: Request, stream: Stream) -> Response:
+    async def handle_subscribe(self, request: Request, stream: Stream) -> Response:
         """Begin a stream, or change the topics of the current one."""
-        message = decoding.parse_subscribe_request(asked.body, self.wall())
+        message = decoding.parse_subscribe_request(request.body, self.wall())
         if message.extends:
-            return self.answer_extension(message)
+            return self.handle_extension(message)
         if message.zone not in self.zones:
             raise MalformedMessageError("zone", "not known here")
         self.check_admission(message)
@@ -197,7 +197,7 @@
             raise
         return UpdateStream(self, message.subscriber, session, stream)
 
-    def answer_extension(self, message: SubscribeRequest) -> Response:
+    def handle_extension(self, message: SubscribeRequest) -> Response:
         """Change the topics of the subscriber's current stream."""
         name, now = message.subscriber, self.clock()
         update_stream = self.streams.get(name)
@@ -212,9 +212,9 @@
         update_stream.wake.set()
         return json_response({})
 
-    def answer_acknowledgement(self, asked: Request) -> Response:
+    def handle_acknowledgement(self, request: Request) -> Response:
         """Take in a subscriber's report."""
-        report = decoding.parse_acknowledgement(asked.body, self.wall())
+        report = decoding.parse_acknowledgement(request.body, self.wall())
         if not self.subscriptions.acknowledge(report.subscriber, report.in_force, report.rejections):
             return text_response(NOT_FOUND, "no such follower")
         return json_response({})
@@ -239,6 +239,6 @@
             self.check_clock()
             self.subscriptions.expire(self.clock())
             if self.may_drop_topics():
-                unused = self.subscriptions.take_unused_topics(self.clock())
-                if unused:
-                    self.on_topics_unused(unused)
+                unused_topics = self.subscriptions.take_unused_topics(self.clock())
+                if unused_topics:
+                    self.on_topics_unused(unused_topics)
--- a/gullmount/distribution/subscription_client.py
+++ b/gullmount/distribution/subscription_client.py
@@ -35,7 +35,7 @@
 REPORT_DELAY_SECONDS = 0.2  # in which what came into force is gathered before it is reported
 REPORT_RETRY_SECONDS = 2.0  # before a failed report is repeated, up to twice that by chance
 CALL_TIMEOUT_SECONDS = 4.0
-NO_ANSWER = 0  # in place of a status
+NO_RESPONSE = 0  # in place of a status
 NEVER = -1e9  # seconds, as a time of the past
 
 Log = Callable[..., None]
@@ -186,34 +186,34 @@
 
     async def report_loop(self) -> None:
         """Report what is due until cancelled."""
-        calls, relay = ConnectionPool(self.network), None
+        pool, relay = ConnectionPool(self.network), None
         try:
             while True:
                 await self.report_due.wait()
                 await anyio.sleep(REPORT_DELAY_SECONDS)
                 self.report_due = anyio.Event()
                 if relay is not self.connected_relay:
-                    await calls.aclose()  # of a relay that was left
+                    await pool.aclose()  # of a relay that was left
                     relay = self.connected_relay
                 if relay is None:
                     continue  # until a stream is open
-                if not await self.send_reports(calls, relay):
+                if not await self.send_reports(pool, relay):
                     self.report_due.set()
                     await anyio.sleep(REPORT_RETRY_SECONDS * (1 + self.random.random()))
         finally:
-            await calls.aclose()
+            await pool.aclose()
 
-    async def send_reports(self, calls: ConnectionPool, relay: RelayEndpoint) -> bool:
+    async def send_reports(self, pool: ConnectionPool, relay: RelayEndpoint) -> bool:
         """Request missing topics and report what is in force; whether all was accepted."""
-        due, removed = self.receiver.due_requests(self.clock()), self.topics_to_remove
+        due_topics, removed_topics = self.receiver.due_requests(self.clock()), self.topics_to_remove
         self.topics_to_remove = set()
-        if due or removed:
-            request = extension(self.name, due, sorted(removed))
-            if await self.post(calls, relay, SUBSCRIBE_PATH, encode(request)) != OK:
+        if due_topics or removed_topics:
+            request = extension(self.name, due_topics, sorted(removed_topics))
+            if await self.post(pool, relay, SUBSCRIBE_PATH, encode(request)) != OK:
                 self.reconnect()  # no such stream there, or a lost call: a new stream requests all
                 return True
         while (report := self.acknowledgements.next_report()) is not None:
-            status = await self.post(calls, relay, IN_FORCE_PATH, encode(report))
+            status = await self.post(pool, relay, IN_FORCE_PATH, encode(report))
             if status == NOT_FOUND:
                 self.reconnect()  # a new stream tells the relay what is in force
                 return True
@@ -222,15 +222,15 @@
             self.acknowledgements.confirm(report)
         return not self.store.gaps
 
-    async def post(self, calls: ConnectionPool, relay: RelayEndpoint, path: str, body: bytes) -> int:
+    async def post(self, pool: ConnectionPool, relay: RelayEndpoint, path: str, body: bytes) -> int:
         """The status of a call to the relay, or NO_ANSWER."""
         try:
             with anyio.fail_after(CALL_TIMEOUT_SECONDS):
-                status, _ = await calls.call(relay.address, "POST", path, body)
+                status, _ = await pool.call(relay.address, "POST", path, body)
         except (CallError, TimeoutError) as error:
             reason = str(error) or "no answer in time"
             self.log(LogEvent.SUBSCRIBER_CALL_FAILED, relay=relay.address, reason=reason)
-            return NO_ANSWER
+            return NO_RESPONSE
         if status != OK:
             self.log(LogEvent.SUBSCRIBER_CALL_FAILED, relay=relay.address, reason=f"status {status}")
         return status
--- a/gullmount/distribution/update_stream.py
+++ b/gullmount/distribution/update_stream.py
@@ -64,23 +64,25 @@
         while subscriptions.current(self.name, self.session) is not None:
             await server.wait_until_current()
             now = server.clock()
-            wait = self.rate_wait(now)
-            if wait:
-                await anyio.sleep(wait)
+            wait_seconds = self.rate_wait(now)
+            if wait_seconds:
+                await anyio.sleep(wait_seconds)
                 continue
             batch = self.next_batch(now)
             if batch is not None:
                 self.last_line_at = now
                 return batch.line
-            due = self.last_line_at + server.heartbeat_seconds  # one figure for both: rounding would spin
-            if now >= due:
+            heartbeat_at = (
+                self.last_line_at + server.heartbeat_seconds
+            )  # one figure for both: rounding would spin
+            if now >= heartbeat_at:
                 heartbeat = subscriptions.heartbeat(self.name, self.session, server.origin_silent_seconds())
                 if heartbeat is None:
                     break
                 self.last_line_at = now
                 return heartbeat
             self.wake = anyio.Event()
-            with anyio.move_on_after(due - now):
+            with anyio.move_on_after(heartbeat_at - now):
                 await self.wake.wait()
         raise StopAsyncIteration
 
