--- a/gullmount/distribution/config.py
+++ b/gullmount/distribution/config.py
@@ -1,6 +1,6 @@
-"""The files of an origin, of a relay and of a proxy that subscribes to relays. Times in seconds.
+"""Configuration files of an origin, of a relay and of a proxy that subscribes to relays.
 
-Attributes are named by their YAML keys.
+Durations are in seconds. Each attribute has the name of its YAML key.
 """
 
 from __future__ import annotations
@@ -15,16 +15,17 @@
 from gullmount.proxy.config import Address, DiscoveryConfig, ProxyConfig
 from gullmount.yamlfile import YamlModel
 
-UNUSED_DISCOVERY_ADDRESS = "127.0.0.1:1"  # of a discovery service that is never asked
+# The address of a discovery service that is configured but never called.
+UNUSED_DISCOVERY_ADDRESS = "127.0.0.1:1"
 Name = Annotated[str, Field(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9._-]+$")]
 
 
 class InvalidConfigError(GullmountError, ValueError):
-    """The operator's fault: a file of an origin, a relay or a proxy can't be meant. Says what to correct."""
+    """A configuration file of an origin, a relay or a proxy is invalid; the message says what to correct."""
 
 
 class UnlistedZoneError(InvalidConfigError):
-    """A zone, of a relay if one is named, is not among the file's zones."""
+    """The zone of the file, or of one of its relays, is not in its list of zones."""
 
     def __init__(self, zone: str, relay: str | None = None) -> None:
         self.zone = zone
@@ -34,21 +35,21 @@
 
 
 class OwnOriginError(InvalidConfigError):
-    """A relay's origin is the relay itself."""
+    """A relay has its own listen address as its origin's address."""
 
     def __init__(self) -> None:
         super().__init__("source is where this relay listens itself")
 
 
 class DuplicateRelayError(InvalidConfigError):
-    """Relays have the same name or address."""
+    """Two relays of the file have the same name or address."""
 
     def __init__(self, names: str) -> None:
-        super().__init__(f"named twice: {names}")
+        super().__init__(f"duplicate relay names or addresses: {names}")
 
 
 class DuplicateServiceError(InvalidConfigError):
-    """A service is listed twice."""
+    """A service is listed more than once."""
 
     def __init__(self) -> None:
         super().__init__("a service is named twice")
@@ -62,24 +63,27 @@
 
 
 def duplicates(names: list[str]) -> str:
-    """The names that are there more than once, as a text."""
+    """Return the names that occur more than once, sorted and separated by commas."""
     return ", ".join(sorted({name for name in names if names.count(name) > 1}))
 
 
 class OriginConfig(YamlModel):
-    """The origin's file: its relays by name, with the zone of each, and what it stores."""
+    """Configuration of the origin: its relays, each with its zone, and what it stores."""
 
     listen: Address
     zones: Annotated[list[Name], Field(min_length=1)]
     relays: Annotated[dict[Name, Name], Field(min_length=1)]
-    kept: Annotated[str, Field(min_length=1)]  # the file of its epoch, and of its state if remembered
-    remembered: bool = True  # whether the state outlives the process
-    connections: PositiveInt = 1000  # at once; more are closed as they come
+    # The file that stores the epoch, and the state if `remembered` is set.
+    kept: Annotated[str, Field(min_length=1)]
+    # Whether the state survives a restart of the process.
+    remembered: bool = True
+    # Maximum number of open connections; further ones are closed on arrival.
+    connections: PositiveInt = 1000
 
     @field_validator("relays")
     @classmethod
     def check_relay_zones(cls, relays: dict[str, str], info: ValidationInfo) -> dict[str, str]:
-        """Refuse a relay of a zone that is not listed."""
+        """Raise UnlistedZoneError if a relay's zone is not in `zones`."""
         for name, zone in relays.items():
             if "zones" in info.data and zone not in info.data["zones"]:
                 raise UnlistedZoneError(zone, name)
@@ -87,36 +91,42 @@
 
 
 class RelayConfig(YamlModel):
-    """A relay's file: which it is, the origin that it subscribes to, and where it listens."""
+    """Configuration of a relay: its name and zone, its origin, its listen address and its limits."""
 
     name: Name
-    zones: Annotated[list[Name], Field(min_length=1)]  # whose subscribers it serves
+    # The zones whose subscribers the relay serves.
+    zones: Annotated[list[Name], Field(min_length=1)]
     zone: Name
     listen: Address
-    source: Address  # of the origin
-    connect_from: str | None = None  # the host that its connections come from, where there are several
-    followers: PositiveInt = 2000  # subscribers at once; more are refused
-    connections: PositiveInt = 5000  # at once; more are closed as they come
-    rate: PositiveInt | None = 5000  # bytes a second to one subscriber, but for a topic that is larger alone
+    # The address of the origin.
+    source: Address
+    # The local host that outgoing connections are made from, on a machine that has several.
+    connect_from: str | None = None
+    # Maximum number of concurrent subscribers; further ones are refused.
+    followers: PositiveInt = 2000
+    # Maximum number of open connections; further ones are closed on arrival.
+    connections: PositiveInt = 5000
+    # Bytes per second to one subscriber. A single topic that is larger is sent all the same.
+    rate: PositiveInt | None = 5000
 
     @field_validator("zone")
     @classmethod
     def check_zone(cls, zone: str, info: ValidationInfo) -> str:
-        """Refuse a zone that is not listed."""
+        """Raise UnlistedZoneError if the relay's zone is not in `zones`."""
         if "zones" in info.data and zone not in info.data["zones"]:
             raise UnlistedZoneError(zone)
         return zone
 
     @model_validator(mode="after")
     def check_source(self) -> Self:
-        """Refuse a relay that subscribes to itself."""
+        """Raise OwnOriginError if the relay would subscribe to itself."""
         if self.source == self.listen:
             raise OwnOriginError
         return self
 
 
 class RelayEntry(YamlModel):
-    """A relay as a proxy's file names it."""
+    """A relay in the configuration of a proxy."""
 
     name: Name
     address: Address
@@ -124,18 +134,20 @@
 
 
 class SubscriptionConfig(YamlModel):
-    """The section `relays` of a proxy's file. Nothing of it is done unless `switched_on`."""
+    """The section `relays` of a proxy's configuration. It has no effect unless `switched_on` is set."""
 
     switched_on: bool = False
     at: Annotated[list[RelayEntry], Field(min_length=1)]
     services: Annotated[list[Name], Field(min_length=1, max_length=10000)]
-    remembered: str | None = None  # the file of what was in force, for the next process
-    start_within: PositiveFloat = 20.0  # s without a relay after which what was remembered must do
+    # The file that stores what was in force, for the next process.
+    remembered: str | None = None
+    # Seconds to wait for a relay at startup before the remembered state is used.
+    start_within: PositiveFloat = 20.0
 
     @field_validator("at")
     @classmethod
     def check_duplicate_relays(cls, at: list[RelayEntry]) -> list[RelayEntry]:
-        """Refuse a name or an address that is there twice."""
+        """Raise DuplicateRelayError if two relays have the same name or address."""
         for names in ([relay.name for relay in at], [relay.address for relay in at]):
             if duplicates(names):
                 raise DuplicateRelayError(duplicates(names))
@@ -144,14 +156,14 @@
     @field_validator("services")
     @classmethod
     def check_duplicate_services(cls, services: list[str]) -> list[str]:
-        """Refuse a service that is there twice."""
+        """Raise DuplicateServiceError if a service is listed more than once."""
         if len(set(services)) < len(services):
             raise DuplicateServiceError
         return services
 
 
 class SubscribedProxyConfig(ProxyConfig):
-    """A proxy's file, with the relays that it subscribes to."""
+    """Configuration of a proxy, with the relays that it subscribes to."""
 
     relays: SubscriptionConfig | None = None
 
@@ -160,7 +172,7 @@
     def check_own_zone(
         cls, relays: SubscriptionConfig | None, info: ValidationInfo
     ) -> SubscriptionConfig | None:
-        """Refuse relays of which none is in the proxy's own zone."""
+        """Raise NoRelayInZoneError if no relay is in the proxy's own zone."""
         zone = info.data.get("zone")
         if relays is not None and zone is not None and zone not in {relay.zone for relay in relays.at}:
             raise NoRelayInZoneError(zone)
@@ -169,7 +181,10 @@
     @model_validator(mode="before")
     @classmethod
     def add_unused_discovery_address(cls, data: Any) -> Any:
-        """Where relays are subscribed to, no discovery service is asked, whether one is named or not."""
+        """Add the discovery section if the proxy subscribes to relays and has none.
+
+        A subscribing proxy calls no discovery service, whether or not one is configured.
+        """
         if isinstance(data, dict) and isinstance(data.get("relays"), dict) and "roster" not in data:
             section = data["relays"]
             if section.get("switched_on") is True and isinstance(section.get("at"), list):
@@ -178,16 +193,16 @@
 
     @property
     def subscribes(self) -> bool:
-        """Whether the proxy subscribes to relays."""
+        """Whether the proxy receives its endpoints and routes from relays."""
         return self.relays is not None and self.relays.switched_on
 
     def without_discovery(self) -> Self:
-        """The same for a proxy that receives its endpoints from relays: it asks no discovery service."""
+        """Return a copy whose discovery service is never called, as relays send the endpoints."""
         return self.model_copy(
             update={"roster": DiscoveryConfig(address=UNUSED_DISCOVERY_ADDRESS, how="ask")}
         )
 
     def instance_settings(self, seed: int, restarted: bool) -> InstanceSettings:
-        """The instance's settings; a subscribing proxy watches no endpoints of its own."""
+        """Return the settings of the proxy instance; a subscribing proxy watches no endpoints itself."""
         settings = super().instance_settings(seed, restarted)
         return replace(settings, may_watch_endpoints=False) if self.subscribes else settings
--- a/gullmount/distribution/http_interface.py
+++ b/gullmount/distribution/http_interface.py
@@ -1,4 +1,4 @@
-"""Paths, statuses and answers of the HTTP interface between subscribers, relays and the origin."""
+"""Paths, status codes and responses of the HTTP interface between subscribers, relays and the origin."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 def json_response(fields: Mapping[str, object]) -> Response:
-    """The answer 200 with a JSON object of these fields and the protocol's version."""
+    """Return a 200 response with a JSON object of these fields and the protocol version."""
     return Response(OK, msgspec.json.encode({"v": MESSAGE_VERSION, **fields}))
 
 
 def text_response(status: int, text: str) -> Response:
-    """An answer of one plain line."""
+    """Return a response whose body is one line of plain text."""
     return Response(status, f"{text}\n".encode())
--- a/gullmount/distribution/route_table.py
+++ b/gullmount/distribution/route_table.py
@@ -1,4 +1,4 @@
-"""The routes of a proxy's services, as relays send them, beside those of its own file. No I/O."""
+"""Combines the routes that relays send for a proxy's services with those of its own file. No I/O."""
 
 from __future__ import annotations
 
@@ -18,19 +18,25 @@
 )
 from gullmount.proxy.config import AT_MOST_ONCE_SUFFIX, RouteConfig
 
-RETIRED_ROUTE_SECONDS = 600.0  # for which a removed route is known: a request of it may still be read
-MAX_ROUTES = 5000  # of one service
-MAX_PROBLEMS = 3  # of a configuration that are reported
+# How long a removed route stays known to the router, as a request of it may still be read.
+RETIRED_ROUTE_SECONDS = 600.0
+# Maximum number of routes of one service.
+MAX_ROUTES = 5000
+# Maximum number of problems of one configuration that are reported.
+MAX_PROBLEMS = 3
 
 ROUTES = TypeAdapter(list[RouteConfig])
-Configuration = dict[str, Any]  # a service's entries
-Matcher = tuple[RouteConfig, re.Pattern[str]]  # as the proxy's front end has them
+# The configuration entries of a service.
+Configuration = dict[str, Any]
+# A route and its compiled pattern, in the form that the front end of the proxy uses.
+Matcher = tuple[RouteConfig, re.Pattern[str]]
 
 
 def parse_routes(value: Any) -> list[RouteConfig]:
-    """Routes, validated as a file's are.
+    """Parse routes and validate them like those of a configuration file.
 
-    Raises UnusableUpdateError, whose reason names the key and holds no value.
+    Raises:
+        UnusableUpdateError: The routes are invalid. Its reason names the key and contains no value.
     """
     if not isinstance(value, dict) or value.keys() != {"routes"} or not isinstance(value["routes"], list):
         raise NotRoutesError
@@ -47,32 +53,39 @@
 
 
 def make_matcher(route: RouteConfig) -> Matcher:
-    """The route with its pattern."""
+    """Return the route with its compiled pattern."""
     return route, route.match.pattern()
 
 
 class RouteTable:
-    """Routes by service, and what the router knows of them.
+    """Holds the routes by service and keeps the router's routes up to date.
 
-    A route of a service replaces one of the file with the same name for as long as it is there. A removed
-    route is known for a while, for requests that began with it.
+    A route of a service replaces the route of the file that has the same name, until it is removed. The
+    router keeps a removed route for RETIRED_ROUTE_SECONDS, for requests that began with it.
     """
 
     def __init__(self, config: SubscribedProxyConfig, services: Sequence[str]) -> None:
-        """Start with the file's routes only; services come in the order of `services`."""
+        """Create a table with the routes of the file only; `services` sets the order of matchers."""
         self.config = config
         self.services = services
-        self.configurations: dict[str, Configuration] = {}  # in force by service
-        self.by_service: dict[str, list[Matcher]] = {}  # the same as routes
-        self.own_routes = [make_matcher(route) for route in config.routes]  # of the file
-        self.retired: dict[str, float] = {}  # since when, by name
+        # The configuration in force, by service.
+        self.configurations: dict[str, Configuration] = {}
+        # The matchers of these configurations, by service.
+        self.by_service: dict[str, list[Matcher]] = {}
+        # The matchers of the file's routes.
+        self.own_routes = [make_matcher(route) for route in config.routes]
+        # When each removed route was removed, by name.
+        self.retired: dict[str, float] = {}
 
     def is_in_force(self, service: str, configuration: Configuration) -> bool:
-        """Whether the service's routes are just these: an origin's new epoch sends them again."""
+        """Return whether the service has this configuration already; a new epoch of the origin repeats it."""
         return self.configurations.get(service) == configuration and service in self.by_service
 
     def check_names(self, service: str, routes: list[RouteConfig]) -> None:
-        """Refuse a name that is there twice, unless it is one of the file's. Raises UnusableUpdateError."""
+        """Raise DuplicateRouteError for a name that occurs twice in `routes` or in another service.
+
+        The name of a route of the file is allowed.
+        """
         names = [route.name for route in routes]
         others = {
             route.name
@@ -92,9 +105,17 @@
         routes_by_name: dict[str, Route],
         now: float,
     ) -> list[Matcher]:
-        """Put a service's routes in force for requests from now on; all matchers in their order.
+        """Put a service's routes in force for new requests.
+
+        Args:
+            service: The name of the service.
+            configuration: The configuration that the routes come from.
+            routes: The new routes of the service.
+            routes_by_name: The routes of the router by name; updated in place.
+            now: The monotonic time in seconds.
 
-        `known`: the router's routes by name, which are brought up to date; `now`: seconds, monotonic.
+        Returns:
+            The matchers of all routes in force, in matching order.
         """
         previous = {route.name: (route, pattern) for route, pattern in self.by_service.get(service, [])}
         self.configurations[service] = configuration
@@ -110,7 +131,7 @@
         return self.matchers(names)
 
     def reused_matcher(self, route: RouteConfig, previous: Mapping[str, Matcher]) -> Matcher:
-        """The route's matcher from before if it is unchanged: a proxy may front thousands of routes."""
+        """Return the existing matcher of an unchanged route, as a proxy may have thousands of routes."""
         previous_matcher = previous.get(route.name)
         return (
             previous_matcher
@@ -119,18 +140,18 @@
         )
 
     def matchers(self, names: set[str]) -> list[Matcher]:
-        """Matchers of the services, then those of the file whose names no service has."""
+        """Return the matchers of the services, then those of the file whose names are not in `names`."""
         matchers = [matcher for service in self.services for matcher in self.by_service.get(service, [])]
         return matchers + [matcher for matcher in self.own_routes if matcher[0].name not in names]
 
     def router_routes(self, routes: list[RouteConfig]) -> Mapping[str, Route]:
-        """Routes as the router knows them."""
+        """Return the routes in the form that the router uses, by name."""
         return self.config.model_copy(update={"routes": routes}).instance_settings(0, False).routes
 
     def retire(
         self, previous: Mapping[str, Matcher], updated_routes: Mapping[str, Route], now: float
     ) -> None:
-        """Note since when removed routes are no longer in force."""
+        """Record the time at which removed routes went out of force."""
         for name in updated_routes:
             self.retired.pop(name, None)
         for name in previous:
@@ -139,6 +160,6 @@
                     self.retired[removed] = now
 
     def drop_retired(self, routes_by_name: dict[str, Route], now: float) -> None:
-        """Forget routes that were removed a while ago."""
+        """Remove routes that were retired more than RETIRED_ROUTE_SECONDS ago."""
         for name in [name for name, since in self.retired.items() if now - since > RETIRED_ROUTE_SECONDS]:
             del self.retired[name], routes_by_name[name]
