--- a/gullmount/distribution/relay.py
+++ b/gullmount/distribution/relay.py
@@ -1,7 +1,8 @@
-"""A relay: subscribes to the origin for its subscribers, and reports what is in force at them.
+"""A relay subscribes to the origin for its subscribers and reports what is in force at them.
 
-It holds the newest of the topics that its subscribers ask for. Where the origin is gone it goes on with what
-it has; where its process was paused, it checks with the origin before it sends on.
+It holds the newest state of the topics that its subscribers request. While the origin cannot be reached, it
+keeps serving the state it has. After its process was paused, it refreshes from the origin before it sends
+anything.
 """
 
 from __future__ import annotations
@@ -33,19 +34,27 @@
 from gullmount.net import StreamNet
 from gullmount.rpc import CallError, ConnectionPool, Request, Response
 
-HEARTBEAT_SECONDS = 2.0  # a third of the silence after which a subscriber gives up
-REPORT_CHECK_SECONDS = 0.5  # between looks whether the summary has changed
-REPORT_SECONDS = 2.0  # between reports that have not changed: the origin counts a relay for 5 s without one
+# A third of the silence after which a subscriber gives up a stream.
+HEARTBEAT_SECONDS = 2.0
+# Interval between checks whether the summary has changed.
+REPORT_CHECK_SECONDS = 0.5
+# Interval between reports of an unchanged summary. The origin counts a relay for 5 s without a report.
+REPORT_SECONDS = 2.0
 REPORT_TIMEOUT_SECONDS = 2.0
-ORIGIN_SILENCE_SECONDS = 5.0  # without the origin, from which on subscribers are told so
-PAUSE_SECONDS = 3.0  # between two looks at the clock, from which on this process counts as paused
-REFRESH_TIMEOUT_SECONDS = 5.0  # for the origin's answer after a pause; then what is held is sent
-MAX_BODY_BYTES = 1 << 20  # of a subscriber's request
-MAX_TOPICS = 40_000  # of all subscribers
+# Silence of the origin after which subscribers are told about it.
+ORIGIN_SILENCE_SECONDS = 5.0
+# Time between two clock checks above which the process counts as paused.
+PAUSE_SECONDS = 3.0
+# Time that the origin has to respond after a pause; then the held state is sent without its response.
+REFRESH_TIMEOUT_SECONDS = 5.0
+# Maximum body size of a subscriber's request.
+MAX_BODY_BYTES = 1 << 20
+# Maximum number of topics of all subscribers together.
+MAX_TOPICS = 40_000
 
 
 class Relay(SubscriberServer):
-    """Run it in a task."""
+    """Serves the state of the origin to subscribers. Run it in a task."""
 
     def __init__(
         self,
@@ -57,9 +66,15 @@
         clock: Callable[[], float] = anyio.current_time,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        """The relay of `config`.
-
-        `clock`: seconds, monotonic; `wall`: seconds of the wall clock.
+        """Create the relay that `config` describes.
+
+        Args:
+            config: The configuration of the relay.
+            network: The network on which it listens and connects.
+            random: The source of random numbers.
+            log: The log function.
+            clock: Returns the monotonic time in seconds.
+            wall: Returns the wall clock time in seconds.
         """
         self.config = config
         self.network = network
@@ -77,13 +92,16 @@
         )
         self.upstream = OriginSubscription(self, random)
         self.clock_checked_at: float | None = None
-        self.up_to_date = anyio.Event()  # what is held is not older than this process believes
+        # Set while the held state is not older than this process believes.
+        self.up_to_date = anyio.Event()
         self.up_to_date.set()
-        self.refresh_deadline = 0.0  # when what is held is sent whatever the origin says
-        self.refresh_stream = 0  # number of the stream, or a later one, that proves what is held
+        # The time from which the held state is sent even if the origin has not responded.
+        self.refresh_deadline = 0.0
+        # The number of the first stream from the origin that confirms the held state; later streams do too.
+        self.refresh_stream = 0
 
     async def run(self, started: anyio.Event | None = None) -> None:
-        """Serve until cancelled, which ends all streams: subscribers move at once."""
+        """Serve until cancelled. Cancellation ends all streams, so that subscribers move at once."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.upstream.run)
             tasks.start_soon(self.cleanup_loop)
@@ -93,7 +111,7 @@
     # Pauses of the process
 
     def check_clock(self) -> None:
-        """Find out, before anything is sent or answered, whether this process was paused."""
+        """Detect a pause of this process. Called before any update or response is sent."""
         now = self.clock()
         if self.clock_checked_at is not None and now - self.clock_checked_at > PAUSE_SECONDS:
             self.begin_refresh(now, paused_seconds=now - self.clock_checked_at)
@@ -102,7 +120,7 @@
         self.clock_checked_at = now
 
     def begin_refresh(self, now: float, paused_seconds: float) -> None:
-        """Send nothing until a new stream of the origin has said what is current."""
+        """Hold back updates until a new stream from the origin has delivered the current state."""
         self.log(LogEvent.PROCESS_PAUSE_DETECTED, seconds=round(paused_seconds, 1))
         if self.up_to_date.is_set():
             self.up_to_date = anyio.Event()
@@ -111,13 +129,13 @@
         self.upstream.reconnect()
 
     def resume_sending(self, reason: str) -> None:
-        """Send what is held, if that was held up."""
+        """Resume sending updates if it was suspended."""
         if not self.up_to_date.is_set():
             self.log(LogEvent.SENDING_RESUMED, reason=reason)
             self.up_to_date.set()
 
     async def wait_until_current(self) -> None:
-        """Wait until what is held may be sent."""
+        """Wait until the held state may be sent."""
         self.check_clock()
         while not self.up_to_date.is_set():
             await self.up_to_date.wait()
@@ -125,24 +143,24 @@
     # The origin
 
     def on_updates(self, result: LineResult) -> None:
-        """A line of the origin came, and its updates are in the store."""
+        """Handle a line from the origin, whose updates are in the store already."""
         is_refreshed = self.upstream.streams_started >= self.refresh_stream
         if is_refreshed and self.store.as_of >= self.store.newest_seen:
             self.resume_sending("the origin was asked")
         self.topics_changed(result.touched_topics)
 
     def on_stream_ended(self) -> None:
-        """The stream from the origin is over, or could not be opened."""
+        """Handle the end of the stream from the origin, or the failure to open one."""
         if self.upstream.streams_started >= self.refresh_stream:
             self.resume_sending("the origin cannot be reached")
 
     def origin_silent_seconds(self) -> float:
-        """Since when the origin was not heard, where that is to be said; else 0."""
+        """Return for how many seconds the origin was silent if subscribers are to be told, else 0."""
         silent_seconds = self.clock() - self.upstream.last_line_at
         return silent_seconds if silent_seconds > ORIGIN_SILENCE_SECONDS else 0.0
 
     async def report_loop(self) -> None:
-        """Report the summary to the origin, if it changed or the last is old, until cancelled."""
+        """Report the summary to the origin when it changes and every REPORT_SECONDS, until cancelled."""
         pool = ConnectionPool(self.network)
         last_summary: dict[str, InForceSummary] = {}
         reported_at = NEVER
@@ -161,7 +179,7 @@
             await pool.aclose()
 
     async def send_summary(self, pool: ConnectionPool, zones: dict[str, InForceSummary]) -> bool:
-        """Whether the origin accepted the summary."""
+        """Send the summary to the origin and return whether the origin accepted it."""
         body = encode(RelaySummaryReport(self.config.name, zones))
         try:
             with anyio.fail_after(REPORT_TIMEOUT_SECONDS):
@@ -176,21 +194,21 @@
     # Subscribers
 
     def check_ready(self) -> None:
-        """Raise UnavailableError before the origin was reached, and while its answer is awaited."""
+        """Raise UnavailableError until the origin was reached once, and during a refresh after a pause."""
         if self.store.newest_seen == NO_VERSION:
             raise OriginNotReachedError
         if not self.up_to_date.is_set():
             raise RefreshInProgressError
 
     def check_admission(self, message: SubscribeRequest) -> None:
-        """Raise TooManyTopicsError if all subscribers' topics would be too many."""
+        """Raise TooManyTopicsError if the subscribers would have more than MAX_TOPICS topics together."""
         subscribed = self.store.subscribed or set()
         if len(subscribed) + len(message.held.keys() - subscribed) > MAX_TOPICS:
             self.log(LogEvent.TOPIC_LIMIT_REACHED, count=len(subscribed))
             raise TooManyTopicsError(MAX_TOPICS)
 
     def on_topics_requested(self, topics: Collection[str]) -> None:
-        """Subscribe to them at the origin."""
+        """Subscribe at the origin to those of the topics that are new."""
         subscribed = self.store.subscribed
         assert subscribed is not None
         new = [topic for topic in topics if topic not in subscribed]
@@ -199,16 +217,16 @@
             self.upstream.report_due.set()
 
     def may_drop_topics(self) -> bool:
-        """Only while the origin could send them again."""
+        """Return whether the origin can be reached, and so could send the topics again."""
         return self.upstream.connected_relay is not None and not self.origin_silent_seconds()
 
     def on_topics_unused(self, topics: list[str]) -> None:
-        """Unsubscribe from them at the origin."""
+        """Unsubscribe from the topics at the origin."""
         self.store.unsubscribe(topics)
         self.upstream.remove_topics(topics)
 
     async def handle_other_request(self, request: Request, path: str) -> Response | None:
-        """What is in force at its subscribers."""
+        """Return the summary of what is in force at the subscribers, or None for another request."""
         if request.method == "GET" and path == IN_FORCE_PATH:
             return json_response({"as_of": self.store.as_of, "zones": self.subscriptions.summary()})
         return None
@@ -218,7 +236,7 @@
     """A relay's own subscription at the origin."""
 
     def __init__(self, relay: Relay, random: Random) -> None:
-        """Subscribe to what `relay` holds."""
+        """Subscribe to the topics in the store of `relay`."""
         super().__init__(
             name=relay.config.name,
             zone=relay.config.zone,
@@ -235,9 +253,9 @@
         self.relay = relay
 
     def on_updates(self, result: LineResult) -> None:
-        """As the relay's."""
+        """Pass the updates on to the relay."""
         self.relay.on_updates(result)
 
     def on_stream_ended(self) -> None:
-        """As the relay's."""
+        """Pass the end of the stream on to the relay."""
         self.relay.on_stream_ended()
--- a/gullmount/distribution/relay_selection.py
+++ b/gullmount/distribution/relay_selection.py
@@ -1,7 +1,10 @@
-"""Which relay a subscriber connects to and when: own zone first, backoff, and leaving one that lags.
+"""Decides which relay a subscriber connects to, and when.
 
-No I/O, clock or randomness of its own: times, in seconds of one clock, and a Random are handed in; methods
-say what to do. A relay selects the origin by the same rules.
+Relays of the subscriber's own zone come first. A relay that failed is avoided for a backoff time, and a relay
+that lags is left. A relay selects the origin by the same rules.
+
+The module has no I/O, clock or randomness of its own. Callers pass in a Random and times, in seconds of one
+clock, and carry out what the methods return.
 """
 
 from __future__ import annotations
@@ -10,27 +13,41 @@
 from dataclasses import dataclass
 from random import Random
 
-START_SPREAD_SECONDS = 1.0  # over which first connections are spread
-MOVE_SPREAD_SECONDS = 1.0  # over which the subscribers of a lost relay connect again
-INITIAL_BACKOFF_SECONDS = 0.5  # doubles with each failure
+# First connections are spread over this time.
+START_SPREAD_SECONDS = 1.0
+# The subscribers of a lost relay reconnect spread over this time.
+MOVE_SPREAD_SECONDS = 1.0
+# The backoff after the first failure; it doubles with each further failure.
+INITIAL_BACKOFF_SECONDS = 0.5
 MAX_BACKOFF_SECONDS = 15.0
-BACKOFF_JITTER = 0.5  # part of a wait that is random
+# The fraction of a wait that is random.
+BACKOFF_JITTER = 0.5
 MAX_RETRY_AFTER_SECONDS = 30.0
-RESPONSE_TIMEOUT_SECONDS = 3.0  # for a stream to begin: a stopped relay accepts connections and is silent
-FAILURES_WHEN_SILENT = 4  # that a silent relay counts as, to be left alone longer than one that refuses
-SILENCE_TIMEOUT_SECONDS = 6.0  # without a byte, after which a stream is given up
-LINE_TIMEOUT_SECONDS = 60.0  # without a whole line, after which a slow stream is given up
-STABLE_STREAM_SECONDS = 10.0  # that a stream lasts after which earlier failures no longer count
-RETURN_HOME_SECONDS = (20.0, 60.0)  # at another zone's relay until one's own zone is tried again
-MAX_RETURN_HOME_DOUBLINGS = 4  # of that wait while no relay of one's own zone can be reached
-MAX_LAG_SECONDS = 10.0  # at a relay that is behind, or has lost the origin, until one leaves it
-MAX_LAG_DOUBLINGS = 5  # of that wait while other relays are behind too: the origin is gone
-MAX_FAILURES = 10  # beyond, more failures make no longer wait
+# Time within which a stream must begin. A stopped relay still accepts connections but sends nothing.
+RESPONSE_TIMEOUT_SECONDS = 3.0
+# A silent relay counts as this many failures, so that it is avoided longer than one that refuses connections.
+FAILURES_WHEN_SILENT = 4
+# A stream without a byte for this long is closed.
+SILENCE_TIMEOUT_SECONDS = 6.0
+# A slow stream without a whole line for this long is closed.
+LINE_TIMEOUT_SECONDS = 60.0
+# After a stream that lasted this long, earlier failures no longer count.
+STABLE_STREAM_SECONDS = 10.0
+# Shortest and longest stay at a relay of another zone before the subscriber's own zone is tried again.
+RETURN_HOME_SECONDS = (20.0, 60.0)
+# How often that stay doubles while no relay of the own zone can be reached.
+MAX_RETURN_HOME_DOUBLINGS = 4
+# Stay at a relay that is behind, or has lost the origin, before the subscriber leaves it.
+MAX_LAG_SECONDS = 10.0
+# How often that stay doubles while other relays are behind too, which means that the origin is lost.
+MAX_LAG_DOUBLINGS = 5
+# Further failures do not lengthen the backoff.
+MAX_FAILURES = 10
 
 
 @dataclass(frozen=True)
 class RelayEndpoint:
-    """Where to subscribe; the origin is of no zone."""
+    """The address and zone of a relay, or the address of the origin, which has no zone."""
 
     address: str
     zone: str = ""
@@ -38,25 +55,28 @@
 
 @dataclass(frozen=True)
 class ConnectionPlan:
-    """Which relay to connect to, and the time before which not to."""
+    """The relay to connect to, and the earliest time of the connection."""
 
     relay: RelayEndpoint
     not_before: float
 
 
 class RelayHealth:
-    """Failures of one relay in a row, and the time before which it is not tried again."""
+    """Consecutive failures of one relay, and the time before which it is not tried again."""
 
     __slots__ = ("failures", "not_before")
 
     def __init__(self) -> None:
-        """No failures."""
+        """Create the state of a relay without failures."""
         self.failures = 0
         self.not_before = 0.0
 
 
 class RelaySelector:
-    """Selects a subscriber's relay. Lives as long as the subscriber; bounded by the relays listed."""
+    """Selects a subscriber's relay.
+
+    It lives as long as the subscriber. Its size is bounded by the number of relays.
+    """
 
     def __init__(self, relays: Sequence[RelayEndpoint], zone: str, random: Random) -> None:
         """Select among `relays` for a subscriber of `zone`."""
@@ -65,21 +85,26 @@
         self.random = random
         self.health = {relay.address: RelayHealth() for relay in relays}
         self.started = False
-        self.current: RelayEndpoint | None = None  # of the stream there is, or of the last one
-        self.connected_at: float | None = None  # None: the stream has ended
+        # The relay of the open stream, or of the last one.
+        self.current: RelayEndpoint | None = None
+        # When the open stream began; None if it has ended.
+        self.connected_at: float | None = None
         self.last_byte_at = 0.0
         self.last_line_at = 0.0
         self.behind_since: float | None = None
-        self.moves_while_behind = 0  # in a row
+        # Consecutive moves away from relays that were behind.
+        self.moves_while_behind = 0
         self.return_home_at = 0.0
-        self.attempts_to_return_home = 0  # in a row
+        # Consecutive attempts to return to the own zone.
+        self.attempts_to_return_home = 0
         self.moves = 0
 
     def next_connection(self, now: float) -> ConnectionPlan:
-        """The next relay: a random one of the own zone, then of the others.
+        """Return the next relay: a random one of the own zone or, if none is usable, of the other zones.
 
-        Where all are to be left alone for a while, the first that may be tried again. It goes by what is
-        known now: a relay that has just failed is not tried at once though the spread would let it.
+        If all relays are in backoff, it is the one whose backoff ends first. Backoff is compared with `now`,
+        not with the connection time: a relay that has just failed is not selected even if its backoff would
+        be over after the spread.
         """
         spread = MOVE_SPREAD_SECONDS if self.started else START_SPREAD_SECONDS
         earliest = now + self.random.random() * spread
@@ -96,7 +121,7 @@
         return ConnectionPlan(first_available, max(earliest, self.health[first_available.address].not_before))
 
     def connected(self, relay: RelayEndpoint, now: float) -> None:
-        """Note that the relay's stream has begun."""
+        """Record that the relay's stream has begun."""
         if self.current is not None and self.current != relay:
             self.moves += 1
         self.current = relay
@@ -108,17 +133,17 @@
         self.return_home_at = now + wait
 
     def received(self, now: float, lines: int) -> None:
-        """Note that bytes came, and with them so many whole lines."""
+        """Record that bytes were received that completed this many lines."""
         self.last_byte_at = now
         if lines:
             self.last_line_at = now
 
     def silence_deadline(self) -> float:
-        """When to give the stream up if nothing comes until then."""
+        """Return the time at which the stream is closed if nothing is received until then."""
         return min(self.last_byte_at + SILENCE_TIMEOUT_SECONDS, self.last_line_at + LINE_TIMEOUT_SECONDS)
 
     def note_lag(self, behind: bool, now: float) -> None:
-        """Note whether the relay is behind what is known here, or has lost the origin."""
+        """Record whether the relay is behind the subscriber's own state, or has lost the origin."""
         if not behind:
             self.behind_since = None
             self.moves_while_behind = 0
@@ -126,7 +151,7 @@
             self.behind_since = now + self.random.random() * MAX_LAG_SECONDS
 
     def should_leave(self, now: float) -> bool:
-        """Whether to leave a working stream: its relay stays behind, or the own zone is to be tried again."""
+        """Return whether to leave a working stream, as its relay lags or a return to the own zone is due."""
         if self.current is None or len(self.relays) == 1:
             return False
         max_lag_seconds = MAX_LAG_SECONDS * 2**self.moves_while_behind
@@ -139,7 +164,7 @@
         )
 
     def left(self, now: float) -> None:
-        """Note that the stream was left as `should_leave` said; a relay that is behind is avoided longer."""
+        """Record that the stream was left after `should_leave`; a relay that is behind is avoided longer."""
         if self.current is not None and self.behind_since is not None:
             self.moves_while_behind = min(self.moves_while_behind + 1, MAX_LAG_DOUBLINGS)
             wait = MAX_BACKOFF_SECONDS * (1.0 + self.random.random())
@@ -148,7 +173,7 @@
             self.attempts_to_return_home = min(self.attempts_to_return_home + 1, MAX_RETURN_HOME_DOUBLINGS)
 
     def failed(self, relay: RelayEndpoint, now: float, hung: bool = False) -> None:
-        """Note that the relay could not be reached, broke the stream, or (hung) was silent."""
+        """Record that the relay could not be reached, broke the stream or, if `hung`, was silent."""
         health = self.health[relay.address]
         if self.current == relay and self.connected_at is not None:
             if now - self.connected_at >= STABLE_STREAM_SECONDS:
@@ -161,9 +186,14 @@
         health.not_before = now + wait * (1.0 - BACKOFF_JITTER * self.random.random())
 
     def refused(self, relay: RelayEndpoint, now: float, retry_after: float | None) -> None:
-        """Note that the relay answered with an error status; `retry_after` in seconds, if it said so.
+        """Record that the relay responded with an error status.
+
+        A response with a retry time is not counted as a failure: the relay has nothing to send yet.
 
-        With that it has nothing to send yet, and is no worse for it.
+        Args:
+            relay: The relay that responded.
+            now: The current time in seconds.
+            retry_after: The retry time in seconds; None if the response had none.
         """
         if retry_after is None:
             self.failed(relay, now)
