--- a/gullmount/distribution/streams.py
+++ b/gullmount/distribution/streams.py
@@ -1,4 +1,4 @@
-"""Streams with a bound on how long the other side may take, and with their bytes counted."""
+"""Stream wrappers that time out on a stalled peer or count bytes."""
 
 from __future__ import annotations
 
@@ -12,54 +12,60 @@
 from gullmount.distribution.update_receiver import SubscriberCounters
 from gullmount.net import DatagramSocket, Stream, StreamNet
 
-WRITE_CHUNK_BYTES = 65536  # handed to the network at once; each chunk has its own time
-WRITE_TIMEOUT_SECONDS = 10.0  # in which the network takes a chunk
-READ_TIMEOUT_SECONDS = 60.0  # without a byte, after which a connection without requests is ended
-SEND_BUFFER_BYTES = 65536  # that the kernel keeps for a subscriber: what waits there grows old
-UNACKNOWLEDGED_TIMEOUT_MS = 15_000  # that sent bytes may stay unacknowledged: without, a cut lasts 15 minutes
+# Data is written in chunks of this size; each chunk has its own timeout.
+WRITE_CHUNK_BYTES = 65536
+# Time within which the network must accept a chunk.
+WRITE_TIMEOUT_SECONDS = 10.0
+# A connection without requests is closed after this time without a byte.
+READ_TIMEOUT_SECONDS = 60.0
+# Size of the kernel's send buffer for a subscriber. It is small, as data that waits there becomes outdated.
+SEND_BUFFER_BYTES = 65536
+# Time that sent bytes may stay unacknowledged. Without it, a lost connection is detected after 15 minutes.
+UNACKNOWLEDGED_TIMEOUT_MS = 15_000
 RECEIVE_BYTES = 65536
 
 
 class WrappedStream(Stream):
-    """A stream around another."""
+    """A stream that passes every call on to an inner stream."""
 
     def __init__(self, inner: Stream) -> None:
         """Wrap `inner`."""
         self.inner = inner
-        self.source = getattr(inner, "source", None)  # of a stream in memory
+        # Only in-memory streams have a source.
+        self.source = getattr(inner, "source", None)
 
     async def receive(self, max_bytes: int = RECEIVE_BYTES) -> bytes:
-        """As the inner stream's."""
+        """Receive from the inner stream."""
         return await self.inner.receive(max_bytes)
 
     async def send(self, item: bytes) -> None:
-        """As the inner stream's."""
+        """Send on the inner stream."""
         await self.inner.send(item)
 
     async def send_eof(self) -> None:
-        """As the inner stream's."""
+        """End the sending side of the inner stream."""
         await self.inner.send_eof()
 
     async def aclose(self) -> None:
-        """As the inner stream's."""
+        """Close the inner stream."""
         await self.inner.aclose()
 
     @property
     def extra_attributes(self) -> Mapping[Any, Callable[[], Any]]:
-        """As the inner stream's."""
+        """The attributes of the inner stream."""
         return self.inner.extra_attributes
 
 
 class DeadlineStream(WrappedStream):
-    """A stream that breaks where the other side takes nothing, or says nothing, for too long."""
+    """A stream that breaks if the peer accepts no data, or sends none, for too long."""
 
     def __init__(self, inner: Stream, on_stalled: Callable[[], None]) -> None:
-        """Wrap `inner`; `on_stalled` is called when a write timed out."""
+        """Wrap `inner`; `on_stalled` is called when a write times out."""
         super().__init__(inner)
         self.on_stalled = on_stalled
 
     async def receive(self, max_bytes: int = RECEIVE_BYTES) -> bytes:
-        """The next bytes. Raises anyio.BrokenResourceError after READ_TIMEOUT_SECONDS."""
+        """Receive the next bytes; raise anyio.BrokenResourceError after READ_TIMEOUT_SECONDS without any."""
         try:
             with anyio.fail_after(READ_TIMEOUT_SECONDS):
                 return await self.inner.receive(max_bytes)
@@ -67,7 +73,7 @@
             raise anyio.BrokenResourceError from None
 
     async def send(self, item: bytes) -> None:
-        """Send in chunks. Raises anyio.BrokenResourceError if one takes WRITE_TIMEOUT_SECONDS."""
+        """Send in chunks; raise anyio.BrokenResourceError if one takes longer than WRITE_TIMEOUT_SECONDS."""
         view = memoryview(item)
         for start in range(0, len(item), WRITE_CHUNK_BYTES):
             try:
@@ -79,21 +85,23 @@
 
 
 def limit_kernel_buffers(stream: Stream) -> None:
-    """Let the kernel keep few unread bytes of this stream, and none for long that are not acknowledged.
+    """Limit the kernel's send buffer of this stream, and the time that sent bytes may stay unacknowledged.
 
-    Something is sent each second or two, so that a peer that was cut off is found out.
+    Something is sent every second or two, so that the loss of the peer is detected.
     """
     try:
         raw = stream.extra(SocketAttribute.raw_socket)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
-        if hasattr(socket, "TCP_USER_TIMEOUT"):  # Linux
+        # Only Linux has this option.
+        if hasattr(socket, "TCP_USER_TIMEOUT"):
             raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
     except (anyio.TypedAttributeLookupError, OSError):
-        pass  # in memory, or gone already
+        # The stream is in memory, or closed already.
+        pass
 
 
 class CountedStream(WrappedStream):
-    """A stream whose bytes are counted."""
+    """A stream that counts the bytes it sends and receives."""
 
     def __init__(self, inner: Stream, counters: SubscriberCounters) -> None:
         """Wrap `inner` and count in `counters`."""
@@ -101,35 +109,35 @@
         self.counters = counters
 
     async def receive(self, max_bytes: int = RECEIVE_BYTES) -> bytes:
-        """As the inner stream's, counted."""
+        """Receive from the inner stream and count the bytes."""
         data = await self.inner.receive(max_bytes)
         self.counters.bytes_in += len(data)
         return data
 
     async def send(self, item: bytes) -> None:
-        """As the inner stream's, counted."""
+        """Count the bytes and send them on the inner stream."""
         self.counters.bytes_out += len(item)
         await self.inner.send(item)
 
 
 class CountedNetwork:
-    """A network whose connections' bytes are counted; lives as long as its subscriber."""
+    """A network that counts the bytes of outgoing connections. It lives as long as its subscriber."""
 
     def __init__(self, network: StreamNet, counters: SubscriberCounters) -> None:
-        """Count `network`'s connections in `counters`."""
+        """Wrap `network` and count the bytes of its outgoing connections in `counters`."""
         self.network = network
         self.counters = counters
 
     async def connect(self, address: str) -> Stream:
-        """A counted connection."""
+        """Connect to `address` and count the bytes of the connection."""
         return CountedStream(await self.network.connect(address), self.counters)
 
     async def serve(
         self, address: str, handler: Callable[[Stream], Awaitable[Any]], started: anyio.Event | None = None
     ) -> None:
-        """As the network's."""
+        """Serve on the wrapped network, without counting."""
         await self.network.serve(address, handler, started)
 
     async def datagrams(self, address: str) -> DatagramSocket:
-        """As the network's."""
+        """Open a datagram socket of the wrapped network, without counting."""
         return await self.network.datagrams(address)
--- a/gullmount/distribution/subscribed_proxy.py
+++ b/gullmount/distribution/subscribed_proxy.py
@@ -1,7 +1,7 @@
-"""A proxy instance that receives endpoints and routes from relays, in place of discovery service and file.
+"""A proxy instance that receives endpoints and routes from relays, not from a discovery service and a file.
 
-It accepts no request before all that it subscribes to is in force: what a relay sent or, where none can be
-reached for a while, what an earlier process remembered.
+It accepts no request until every topic that it subscribes to is in force. The topics come from a relay or, if
+no relay can be reached for a while, from the state that an earlier process stored.
 """
 
 from __future__ import annotations
@@ -31,14 +31,16 @@
 from gullmount.proxy.generic_adapter import GenericAdapter
 from gullmount.rpc import InvalidMessageError
 
-SAVE_SECONDS = 1.0  # between writes of what is remembered
+# Minimum time between two writes of the remembered state.
+SAVE_SECONDS = 1.0
 MAX_MISSING_LOGGED = 5
 MAX_PROBLEMS_LOGGED = 3
-SEED_OFFSET = 2  # from the instance's seed, so that its other random numbers differ
+# Added to the instance's seed, so that the subscriber draws other random numbers than the instance.
+SEED_OFFSET = 2
 
 
 class WrappedProxy(Protocol):
-    """The proxy instance around which this one is: one that runs, or one that owns leased work besides."""
+    """The proxy instance that is wrapped: a plain one, or one that also owns leased work."""
 
     async def __aenter__(self) -> Any: ...
 
@@ -51,11 +53,7 @@
 
 
 class SubscribedProxy:
-    """`async with` it, as a `ProxyInstance`.
-
-    `running` is what `inner` runs by, made with `config.without_discovery()` and not entered yet.
-    `state_store` stores what was in force for the next process.
-    """
+    """A proxy instance that subscribes to relays. Use it with `async with`, like a `ProxyInstance`."""
 
     def __init__(
         self,
@@ -68,7 +66,18 @@
         wall: Callable[[], float] = time.time,
         log: Log = no_log,
     ) -> None:
-        """Wrap `inner`; `wall`: seconds of the wall clock."""
+        """Wrap `inner`.
+
+        Args:
+            config: The configuration of the proxy.
+            inner: The proxy instance to wrap.
+            running: The instance that `inner` runs on. It is created with `config.without_discovery()` and
+                not entered yet.
+            network: The network on which relays are reached.
+            state_store: Stores what was in force, for the next process.
+            wall: Returns the wall clock time in seconds.
+            log: The log function.
+        """
         assert config.relays is not None
         self.config = config
         self.subscription = config.relays
@@ -81,7 +90,8 @@
         self.endpoints = EndpointTable(self.subscription.services, wall)
         self.routes = RouteTable(config, self.subscription.services)
         self.discovery_index = 0
-        self.router_informed = False  # whether the router was sent all endpoints
+        # Whether the router has received all endpoints once.
+        self.router_informed = False
         self.save_due = anyio.Event()
         self.may_listen = anyio.Event()
         self.listen = running.listen
@@ -121,7 +131,7 @@
         return None
 
     async def stop(self) -> None:
-        """Accept no more requests and wait until all that were accepted have their responses."""
+        """Accept no more requests and wait until all accepted requests have their responses."""
         await self.inner.stop()
 
     @property
@@ -132,12 +142,15 @@
     # Start
 
     async def listen_when_ready(self) -> None:
-        """Listen once everything is in force."""
+        """Start to listen once all topics are in force."""
         await self.may_listen.wait()
         await self.listen()
 
     async def start(self) -> None:
-        """Wait for the relays, or for what was remembered to do, and let requests in."""
+        """Wait until all topics are in force, then accept requests.
+
+        After `start_within` seconds without them, the remembered state is used if it has all topics.
+        """
         synced = self.subscriber.synced
         with anyio.move_on_after(self.subscription.start_within):
             await synced.wait()
@@ -156,7 +169,7 @@
     # Updates
 
     def apply_endpoints(self, service: str, is_snapshot: bool, entries: Mapping[str, Any | None]) -> None:
-        """Put a service's endpoints in force; malformed ones are left out."""
+        """Put a service's endpoints in force; malformed ones are skipped and logged."""
         result = self.endpoints.apply(service, is_snapshot, entries)
         if result.problems:
             self.log(
@@ -170,13 +183,13 @@
         self.save_due.set()
 
     def inform_router(self, kind: str, addresses: Mapping[str, Any]) -> None:
-        """Send the router these endpoints, as a discovery service would."""
+        """Send these endpoints to the router as a message of a discovery service."""
         self.discovery_index += 1
         message = self.endpoints.discovery_message(kind, self.discovery_index, addresses)
         self.running.discovery.handle_message(message)
 
     def apply_configuration(self, service: str, entries: Mapping[str, Any | None]) -> None:
-        """Replace the routes of a service. Raises UnusableUpdateError."""
+        """Replace the routes of a service; raise UnusableUpdateError if they are invalid."""
         unknown = sorted(entries.keys() - {"routes"})
         if unknown:
             raise UnknownKeyError(unknown[0])
@@ -192,15 +205,16 @@
         cast(GenericAdapter, proxy_runtime.adapter).routes = matchers
         self.save_due.set()
 
-    # What outlives the process
+    # State that survives a restart
 
     def restore(self) -> dict[str, RememberedTopic]:
-        """Put in force what an earlier process had, for as long as nothing newer comes; its topics."""
+        """Put the state of an earlier process in force until newer updates arrive, and return its topics."""
         restored: dict[str, RememberedTopic] = {}
         for topic, stored in self.stored_topics().items():
             _, _, service = topic.partition("/")
             if service not in self.endpoints.by_service:
-                continue  # it was fronted then
+                # The earlier process subscribed to a service that this one does not.
+                continue
             try:
                 self.restore_topic(topic, stored)
             except UnusableUpdateError as error:
@@ -210,7 +224,7 @@
         return restored
 
     def stored_topics(self) -> dict[str, StoredTopic]:
-        """What is in the state store; nothing if that can't be read."""
+        """Load the topics from the state store; return none if it cannot be read."""
         try:
             data = self.state_store.load()
             return {} if data is None else decode_topics(data)
@@ -219,7 +233,7 @@
             return {}
 
     def restore_topic(self, topic: str, stored: StoredTopic) -> None:
-        """Put a remembered topic in force. Raises UnusableUpdateError."""
+        """Put a remembered topic in force; raise UnusableUpdateError if its configuration is invalid."""
         kind, _, service = topic.partition("/")
         if kind == ENDPOINTS_KIND:
             self.apply_endpoints(service, True, stored.entries)
@@ -242,7 +256,7 @@
             await anyio.sleep(SAVE_SECONDS)
 
     def entries_of(self, topic: str) -> dict[str, Any]:
-        """A topic's entries as they are in force."""
+        """Return the entries of a topic that are in force."""
         kind, _, service = topic.partition("/")
         if kind == ENDPOINTS_KIND:
             return self.endpoints.by_service[service]
--- a/gullmount/distribution/subscriber.py
+++ b/gullmount/distribution/subscriber.py
@@ -1,4 +1,4 @@
-"""A subscriber that puts in force what it receives: endpoints and configuration of the services it fronts."""
+"""A subscriber that puts the endpoints and configuration of its services in force as it receives them."""
 
 from __future__ import annotations
 
@@ -24,28 +24,39 @@
 
 
 class UpdateHandler(Protocol):
-    """Puts in force what a subscriber receives. The order of calls is that of versions."""
+    """Puts the updates of a subscriber in force. Calls come in the order of versions."""
 
     def apply_endpoints(self, service: str, is_snapshot: bool, entries: Mapping[str, Any | None]) -> None:
-        """Endpoints by address: all there are, or changes with None for one that was removed."""
+        """Put a service's endpoints in force.
+
+        Args:
+            service: The name of the service.
+            is_snapshot: Whether `entries` contains all endpoints, or only changes.
+            entries: The endpoints by address; None for one that was removed.
+        """
 
     def apply_configuration(self, service: str, entries: Mapping[str, Any | None]) -> None:
-        """All entries of a configuration; a change may have left them as they were.
+        """Put a service's configuration in force.
 
-        Raises UnusableUpdateError: what was in force before stays.
+        Args:
+            service: The name of the service.
+            entries: All entries of the configuration, which may be the same as before.
+
+        Raises:
+            UnusableUpdateError: The configuration is invalid; the previous one stays in force.
         """
 
 
 @dataclass(frozen=True)
 class RememberedTopic:
-    """A topic that an earlier process had in force."""
+    """The version and entries of a topic that an earlier process had in force."""
 
     version: Version
     entries: Mapping[str, Any]
 
 
 class Subscriber(SubscriptionClient):
-    """A proxy's subscription. `run` it in a task; any number share a process."""
+    """The subscription of a proxy. Call `run` in a task; a process may have any number of them."""
 
     def __init__(
         self,
@@ -62,7 +73,21 @@
         wall: Callable[[], float] = time.time,
         remembered: Mapping[str, RememberedTopic] | None = None,
     ) -> None:
-        """Subscribe to all topics of `services`; `remembered` by topic is in force already."""
+        """Create a subscriber to all topics of `services`.
+
+        Args:
+            name: The name of the subscriber.
+            zone: The zone of the subscriber.
+            relays: The relays to choose from.
+            services: The names of the services.
+            network: The network on which relays are reached.
+            random: The source of random numbers.
+            handler: Puts updates in force.
+            log: The log function.
+            clock: Returns the monotonic time in seconds.
+            wall: Returns the wall clock time in seconds.
+            remembered: The topics that are in force already, by name.
+        """
         super().__init__(
             name=name,
             zone=zone,
@@ -75,11 +100,12 @@
             wall=wall,
         )
         self.handler = handler
-        self.synced = anyio.Event()  # all topics were received once
+        # Set once every topic was received.
+        self.synced = anyio.Event()
         self.restore(remembered or {})
 
     def restore(self, remembered: Mapping[str, RememberedTopic]) -> None:
-        """Hold what is in force from an earlier process; the first request says so."""
+        """Store the topics of an earlier process; the first subscribe request reports them as in force."""
         for topic, known in remembered.items():
             entries = {key: msgspec.Raw(msgspec.json.encode(value)) for key, value in known.entries.items()}
             update = TopicUpdate(topic, known.version, entries, is_snapshot=True)
@@ -89,7 +115,7 @@
         self.acknowledgements.unconfirmed.clear()
 
     def on_updates(self, result: LineResult) -> None:
-        """Put the updates in force."""
+        """Put the updates of a line in force."""
         for update in result.updates:
             self.put_in_force(update)
         if result.updates:
@@ -97,7 +123,7 @@
         self.note_if_synced()
 
     def put_in_force(self, update: AppliedUpdate) -> None:
-        """Hand an update to the handler; one that it can't use is reported as rejected."""
+        """Pass an update to the handler; report it as rejected if it is unusable."""
         kind, _, service = update.topic.partition("/")
         try:
             if kind == ENDPOINTS_KIND:
@@ -116,10 +142,10 @@
             self.acknowledgements.applied(update.topic, update.version)
 
     def entries_of(self, topic: str) -> dict[str, Any]:
-        """All entries of a topic.
+        """Return all entries of a topic, decoded from the store.
 
-        An origin's new epoch brings changes without any entry: taken for everything, these would end a
-        configuration.
+        The entries of an update do not suffice: a new epoch of the origin sends changes without entries,
+        which would remove the configuration if they were taken for all of it.
         """
         snapshot = self.store.logs[topic].snapshot()
         return {key: msgspec.json.decode(raw) for key, raw in snapshot.items()}
--- a/gullmount/distribution/subscriber_server.py
+++ b/gullmount/distribution/subscriber_server.py
@@ -1,6 +1,6 @@
-"""What the origin and a relay have in common: they serve subscribers' streams and reports.
+"""Base of the origin and of a relay: a server of subscribers' streams and reports.
 
-Which updates go to whom is decided in `subscriptions`. Lives as long as its process.
+The module `subscriptions` decides which updates each subscriber gets. A server lives as long as its process.
 """
 
 from __future__ import annotations
@@ -30,12 +30,14 @@
 from gullmount.net import HandlerErrors, Stream, abort, source_host
 from gullmount.rpc import InvalidMessageError, Request, Response, serve
 
-CLEANUP_SECONDS = 0.5  # between looks for disconnected subscribers and unused topics
-RETRY_AFTER_SECONDS = 1.0  # for subscribers that can't be served now
+# Interval between checks for disconnected subscribers and unused topics.
+CLEANUP_SECONDS = 0.5
+# The retry time in responses to subscribers that cannot be served yet.
+RETRY_AFTER_SECONDS = 1.0
 
 
 class SubscriberServer:
-    """Serves subscribers; a subclass says when there is something to send, and to whom."""
+    """Serves subscribers. A subclass decides when updates may be sent and which subscribers are admitted."""
 
     def __init__(
         self,
@@ -50,10 +52,18 @@
         clock: Callable[[], float],
         wall: Callable[[], float],
     ) -> None:
-        """Serve subscribers of `zones`.
-
-        `heartbeat_seconds`: between lines of a stream without updates; `bytes_per_second`: to one subscriber;
-        `clock`: seconds, monotonic; `wall`: seconds of the wall clock.
+        """Create a server for subscribers of `zones`.
+
+        Args:
+            subscriptions: The subscriptions that the server serves.
+            zones: The zones whose subscribers are admitted.
+            max_connections: Maximum number of open connections.
+            heartbeat_seconds: Interval between the lines of a stream without updates.
+            bytes_per_second: The send rate to one subscriber; None for no limit.
+            max_body_bytes: Maximum size of a request body.
+            log: The log function.
+            clock: Returns the monotonic time in seconds.
+            wall: Returns the wall clock time in seconds.
         """
         self.subscriptions = subscriptions
         self.zones = frozenset(zones)
@@ -64,49 +74,55 @@
         self.clock = clock
         self.wall = wall
         self.max_body_bytes = max_body_bytes
-        self.streams: dict[str, UpdateStream] = {}  # by subscriber
+        # The open streams by subscriber name.
+        self.streams: dict[str, UpdateStream] = {}
         self.open_connections = 0
         self.malformed_messages = 0
-        self.stalled_streams = 0  # ended as they took nothing
-        self.refused_connections = 0  # closed as there were too many
+        # Streams that ended because the subscriber accepted no data.
+        self.stalled_streams = 0
+        # Connections that were closed because of `max_connections`.
+        self.refused_connections = 0
         self.handler_errors = HandlerErrors(log)
 
-    # For a subclass
+    # Overridden by subclasses
 
     def check_ready(self) -> None:
-        """Raise UnavailableError while there is nothing to send yet: an empty state is never sent as true."""
+        """Raise UnavailableError while no state is known, as an unknown state must not be sent as empty."""
 
     def check_clock(self) -> None:
-        """Called before anything is answered."""
+        """Detect a pause of the process. Called before a request is handled."""
 
     async def wait_until_current(self) -> None:
-        """Wait until what is held may be sent."""
+        """Wait until the held state may be sent."""
 
     def origin_silent_seconds(self) -> float:
-        """Since when the origin was not heard, where that is to be said; else 0."""
+        """Return for how many seconds the origin was silent if subscribers are to be told, else 0."""
         return 0.0
 
     def check_admission(self, message: SubscribeRequest) -> None:
-        """Raise MalformedMessageError for one that doesn't belong here, UnavailableError without room."""
+        """Raise MalformedMessageError for a request for another server, UnavailableError at a limit."""
 
     def on_topics_requested(self, topics: Collection[str]) -> None:
-        """A subscriber asks for these topics."""
+        """Called when a subscriber requests these topics."""
 
     async def handle_other_request(self, request: Request, path: str) -> Response | None:
-        """An answer to a request that is no subscriber's, or None; raises what `answer` handles."""
+        """Handle a request that is not from a subscriber; return None for any other.
+
+        It may raise the errors that `handle_request` handles.
+        """
         raise NotImplementedError
 
     def may_drop_topics(self) -> bool:
-        """Whether what is dropped could be requested again."""
+        """Return whether dropped topics could be requested again."""
         return True
 
     def on_topics_unused(self, topics: list[str]) -> None:
-        """Nobody has subscribed to these topics for a while."""
+        """Called when these topics have had no subscriber for a while."""
 
     # Connections
 
     async def handle_connection(self, stream: Stream) -> None:
-        """Serve a connection until it ends; it is closed at once if there are too many."""
+        """Serve a connection until it ends; close it at once if there are too many."""
         if self.open_connections >= self.max_connections:
             self.note_refused_connection()
             await abort(stream)
@@ -120,18 +136,18 @@
             self.open_connections -= 1
 
     def note_refused_connection(self) -> None:
-        """Count it, and log the 1st, 2nd, 4th and so on: a flood must not fill the log."""
+        """Count a refused connection; log the 1st, 2nd, 4th and so on, so that no flood fills the log."""
         self.refused_connections += 1
         if not self.refused_connections & (self.refused_connections - 1):
             self.log(LogEvent.CONNECTION_LIMIT_REACHED, count=self.refused_connections)
 
     def note_stalled(self) -> None:
-        """A stream took nothing for too long and is ended."""
+        """Count and log a stream that ends because the subscriber accepted no data for too long."""
         self.stalled_streams += 1
         self.log(LogEvent.STREAM_STALLED, count=self.stalled_streams)
 
     async def handle_request(self, request: Request, stream: Stream) -> Response:
-        """The answer to a request."""
+        """Handle a request and return the response."""
         try:
             path = request.parse_target().path
             self.check_clock()
@@ -150,7 +166,7 @@
         return text_response(NOT_FOUND, "nothing here")
 
     def handle_malformed_request(self, stream: Stream, error: InvalidMessageError) -> Response:
-        """The answer to a request that could not be decoded."""
+        """Count and log a request that could not be decoded, and return the response to it."""
         self.malformed_messages += 1
         self.log(
             LogEvent.REQUEST_MALFORMED,
@@ -163,7 +179,7 @@
     # Subscribers
 
     async def handle_subscribe(self, request: Request, stream: Stream) -> Response:
-        """Begin a stream, or change the topics of the current one."""
+        """Begin a stream, or change the topics of the subscriber's current stream."""
         message = decoding.parse_subscribe_request(request.body, self.wall())
         if message.extends:
             return self.handle_extension(message)
@@ -180,7 +196,7 @@
         return Response(OK, lines=update_stream)
 
     def begin_stream(self, message: SubscribeRequest, stream: Stream) -> UpdateStream:
-        """Subscribe. Raises TooManySubscribersError."""
+        """Register the subscription and return its stream; raise TooManySubscribersError at the limit."""
         try:
             session = self.subscriptions.subscribe(
                 message.subscriber,
@@ -213,20 +229,20 @@
         return json_response({})
 
     def handle_acknowledgement(self, request: Request) -> Response:
-        """Take in a subscriber's report."""
+        """Record which updates a subscriber reports as in force or rejected."""
         report = decoding.parse_acknowledgement(request.body, self.wall())
         if not self.subscriptions.acknowledge(report.subscriber, report.in_force, report.rejections):
             return text_response(NOT_FOUND, "no such follower")
         return json_response({})
 
     def stream_closed(self, stream: UpdateStream) -> None:
-        """A stream has ended."""
+        """Remove a stream that has ended, and mark its subscriber as disconnected."""
         if self.streams.get(stream.name) is stream:
             del self.streams[stream.name]
         self.subscriptions.disconnect(stream.name, stream.session, self.clock())
 
     def topics_changed(self, topics: Collection[str]) -> None:
-        """Wake the streams of all topics that one change or message touched."""
+        """Wake the streams of the subscribers of these topics, which one change or message updated."""
         for name in self.subscriptions.topics_changed(*topics):
             update_stream = self.streams.get(name)
             if update_stream is not None:
--- a/gullmount/distribution/subscription_client.py
+++ b/gullmount/distribution/subscription_client.py
@@ -1,7 +1,7 @@
-"""A subscription on a network: keeps one stream open, at the relay that is selected, and reports on it.
+"""Client of a subscription: keeps one stream open to the selected relay and reports what is in force.
 
-A proxy subscribes to relays by it, a relay to the origin. Two tasks each: one reads, one reports. Neither
-wakes unless something came or is due.
+A proxy uses it to subscribe to relays, a relay to subscribe to the origin. A client has two tasks, one that
+reads and one that reports. They wake only when data arrives or a report is due.
 """
 
 from __future__ import annotations
@@ -32,11 +32,15 @@
 from gullmount.net import StreamNet
 from gullmount.rpc import CallError, ConnectionPool, SilentPeerError, stream_lines
 
-REPORT_DELAY_SECONDS = 0.2  # in which what came into force is gathered before it is reported
-REPORT_RETRY_SECONDS = 2.0  # before a failed report is repeated, up to twice that by chance
+# Changes that come into force within this time are reported together.
+REPORT_DELAY_SECONDS = 0.2
+# A failed report is repeated after a random time between this and twice this.
+REPORT_RETRY_SECONDS = 2.0
 CALL_TIMEOUT_SECONDS = 4.0
-NO_RESPONSE = 0  # in place of a status
-NEVER = -1e9  # seconds, as a time of the past
+# Stands for the status of a call without a response.
+NO_RESPONSE = 0
+# A time in seconds that is earlier than any other.
+NEVER = -1e9
 
 Log = Callable[..., None]
 
@@ -46,7 +50,10 @@
 
 
 class SubscriptionClient:
-    """What a proxy's and a relay's subscription share; `on_updates` and `on_stream_ended` are theirs."""
+    """Base of the subscriptions of a proxy and of a relay.
+
+    Subclasses override `on_updates` and `on_stream_ended`.
+    """
 
     def __init__(
         self,
@@ -63,9 +70,20 @@
         decode_values: bool = True,
         with_history: bool = False,
     ) -> None:
-        """Subscribe as `name` to the topics of `store`, at one of `relays`.
+        """Create a client that subscribes to the topics of `store` at one of `relays`.
 
-        `clock`: seconds, monotonic; `wall`: seconds of the wall clock, for epochs.
+        Args:
+            name: The name of the subscriber.
+            zone: The zone of the subscriber.
+            relays: The relays to choose from.
+            store: The topics, to which updates are applied.
+            network: The network on which relays are reached.
+            random: The source of random numbers.
+            log: The log function.
+            clock: Returns the monotonic time in seconds.
+            wall: Returns the wall clock time in seconds, for epochs.
+            decode_values: Whether the values of updates are decoded.
+            with_history: Whether the history of topics is requested.
         """
         self.name = name
         self.store = store
@@ -78,7 +96,8 @@
         self.receiver = UpdateReceiver(store, decode_values=decode_values)
         self.acknowledgements = Acknowledgements(name, zone)
         self.network = CountedNetwork(network, self.counters)
-        self.connected_relay: RelayEndpoint | None = None  # whose stream is open
+        # The relay of the open stream, from its first line on.
+        self.connected_relay: RelayEndpoint | None = None
         self.last_line_at = NEVER
         self.report_due = anyio.Event()
         self.topics_to_remove: set[str] = set()
@@ -87,7 +106,7 @@
 
     @property
     def counters(self) -> SubscriberCounters:
-        """Counts from its start."""
+        """The counters of this client since its start."""
         return self.receiver.counters
 
     async def run(self) -> None:
@@ -100,12 +119,12 @@
                 await self.run_stream(plan.relay)
 
     def reconnect(self) -> None:
-        """Give the stream up and open another at once."""
+        """Close the stream and open another one."""
         if self.stream_scope is not None:
             self.stream_scope.cancel()
 
     async def run_stream(self, relay: RelayEndpoint) -> None:
-        """One stream, until it breaks or is left."""
+        """Open a stream and read it until it breaks or is left."""
         self.streams_started += 1
         self.topics_to_remove = set()
         body = encode(self.acknowledgements.subscribe_request(self.store, self.with_history))
@@ -120,7 +139,7 @@
         self.on_stream_ended()
 
     def note_failure(self, relay: RelayEndpoint, error: CallError) -> None:
-        """The stream broke, or the relay turned it down."""
+        """Record and log that the stream broke, or that the relay refused it."""
         if error.status:
             self.selector.refused(relay, self.clock(), error.retry_after_seconds)
         else:
@@ -148,7 +167,7 @@
                     return
 
     def note_connected(self, relay: RelayEndpoint) -> None:
-        """The relay's first line came."""
+        """Record and log that the first line of the relay's stream was received."""
         self.connected_relay = relay
         self.selector.connected(relay, self.last_line_at)
         self.counters.moves = self.selector.moves
@@ -156,7 +175,7 @@
         self.report_due.set()
 
     def receive(self, relay: RelayEndpoint, line: bytes) -> bool:
-        """Take in a line; whether to leave the relay."""
+        """Process a line and return whether to leave the relay."""
         result = self.receiver.receive(line, self.wall())
         for problem in result.errors:
             self.log(LogEvent.UPDATE_MALFORMED, relay=relay.address, reason=problem)
@@ -172,20 +191,20 @@
         return True
 
     def on_updates(self, result: LineResult) -> None:
-        """A line came, and its updates are in the store."""
+        """Called after a line was received and its updates were stored."""
 
     def on_stream_ended(self) -> None:
-        """The stream is over, or none could be opened."""
+        """Called when the stream has ended or could not be opened."""
 
     # Reports
 
     def remove_topics(self, topics: Sequence[str]) -> None:
-        """Unsubscribe from topics on the stream there is; a later one does not ask for them."""
+        """Unsubscribe from topics on the open stream; later streams do not request them."""
         self.topics_to_remove.update(topics)
         self.report_due.set()
 
     async def report_loop(self) -> None:
-        """Report what is due until cancelled."""
+        """Send reports when they are due, until cancelled."""
         pool, relay = ConnectionPool(self.network), None
         try:
             while True:
@@ -193,10 +212,12 @@
                 await anyio.sleep(REPORT_DELAY_SECONDS)
                 self.report_due = anyio.Event()
                 if relay is not self.connected_relay:
-                    await pool.aclose()  # of a relay that was left
+                    # Closes the connections to the previous relay.
+                    await pool.aclose()
                     relay = self.connected_relay
                 if relay is None:
-                    continue  # until a stream is open
+                    # There is nobody to report to until a stream is open.
+                    continue
                 if not await self.send_reports(pool, relay):
                     self.report_due.set()
                     await anyio.sleep(REPORT_RETRY_SECONDS * (1 + self.random.random()))
@@ -204,18 +225,20 @@
             await pool.aclose()
 
     async def send_reports(self, pool: ConnectionPool, relay: RelayEndpoint) -> bool:
-        """Request missing topics and report what is in force; whether all was accepted."""
+        """Request missing topics and report what is in force; return False if it must be repeated."""
         due_topics, removed_topics = self.receiver.due_requests(self.clock()), self.topics_to_remove
         self.topics_to_remove = set()
         if due_topics or removed_topics:
             request = extension(self.name, due_topics, sorted(removed_topics))
             if await self.post(pool, relay, SUBSCRIBE_PATH, encode(request)) != OK:
-                self.reconnect()  # no such stream there, or a lost call: a new stream requests all
+                # The relay has no such stream, or the call was lost. A new stream requests all topics.
+                self.reconnect()
                 return True
         while (report := self.acknowledgements.next_report()) is not None:
             status = await self.post(pool, relay, IN_FORCE_PATH, encode(report))
             if status == NOT_FOUND:
-                self.reconnect()  # a new stream tells the relay what is in force
+                # The subscribe request of a new stream tells the relay what is in force.
+                self.reconnect()
                 return True
             if status != OK:
                 return False
@@ -223,7 +246,7 @@
         return not self.store.gaps
 
     async def post(self, pool: ConnectionPool, relay: RelayEndpoint, path: str, body: bytes) -> int:
-        """The status of a call to the relay, or NO_ANSWER."""
+        """Send a POST request to the relay and return the status, or NO_RESPONSE if the call failed."""
         try:
             with anyio.fail_after(CALL_TIMEOUT_SECONDS):
                 status, _ = await pool.call(relay.address, "POST", path, body)
--- a/gullmount/distribution/update_stream.py
+++ b/gullmount/distribution/update_stream.py
@@ -1,6 +1,6 @@
-"""One subscriber's stream at its server: the lines that it is sent, one at a time.
+"""Sends one subscriber's stream from its server, line by line.
 
-The next line is asked for when the network has taken the last.
+The next line is requested once the network has accepted the previous one.
 """
 
 from __future__ import annotations
@@ -14,37 +14,45 @@
 from gullmount.distribution.subscriptions import Batch, Subscriptions
 from gullmount.net import Stream, abort
 
-MAX_BATCH_BYTES = 65536  # of a line with more than one topic: a slow subscriber gets updates in turn
+# Maximum size of a line with more than one topic, so that a slow subscriber gets updates in turn.
+MAX_BATCH_BYTES = 65536
 
 
 class StreamServer(Protocol):
-    """What a stream needs of its server."""
+    """The part of a server that a stream uses."""
 
     subscriptions: Subscriptions
     heartbeat_seconds: float
     bytes_per_second: int | None
 
     def clock(self) -> float:
-        """Seconds, monotonic."""
+        """Return the monotonic time in seconds."""
 
     async def wait_until_current(self) -> None:
-        """Wait until what is held may be sent."""
+        """Wait until the server's state is known to be current and may be sent."""
 
     def origin_silent_seconds(self) -> float:
-        """Since when the origin was not heard, where that is to be said; else 0."""
+        """Return for how many seconds the origin was silent if subscribers are to be told, else 0."""
 
     def stream_closed(self, stream: UpdateStream) -> None:
-        """A stream has ended."""
+        """Called when a stream has ended."""
 
 
 class UpdateStream:
     """The lines of one stream, as an asynchronous iterator.
 
-    No generator: one that never began would not be closed.
+    It is not a generator, because a generator that was never started would not be closed.
     """
 
     def __init__(self, server: StreamServer, name: str, session: int, stream: Stream) -> None:
-        """The lines for the subscriber `name` on the connection `stream`."""
+        """Create the stream of a subscriber.
+
+        Args:
+            server: The server that the subscriber is connected to.
+            name: The name of the subscriber.
+            session: The number of the subscriber's session.
+            stream: The connection of the subscriber.
+        """
         self.server = server
         self.name = name
         self.session = session
@@ -58,7 +66,7 @@
         return self
 
     async def __anext__(self) -> bytes:
-        """The next line, when there is one."""
+        """Wait for the next batch of updates or the next heartbeat and return its line."""
         server = self.server
         subscriptions = server.subscriptions
         while subscriptions.current(self.name, self.session) is not None:
@@ -72,9 +80,8 @@
             if batch is not None:
                 self.last_line_at = now
                 return batch.line
-            heartbeat_at = (
-                self.last_line_at + server.heartbeat_seconds
-            )  # one figure for both: rounding would spin
+            # The comparison and the wait use the same value; a rounding difference would cause a busy loop.
+            heartbeat_at = self.last_line_at + server.heartbeat_seconds
             if now >= heartbeat_at:
                 heartbeat = subscriptions.heartbeat(self.name, self.session, server.origin_silent_seconds())
                 if heartbeat is None:
@@ -87,14 +94,14 @@
         raise StopAsyncIteration
 
     def rate_wait(self, now: float) -> float:
-        """Seconds until the rate allows the next batch; 0 if it may be sent, or there is none."""
+        """Return the seconds until the rate limit allows the next batch; 0 if there is no batch to delay."""
         if self.rate_limiter is None:
             return 0.0
         size = self.server.subscriptions.next_batch_bytes(self.name, self.session)
         return max(0.0, self.rate_limiter.earliest_send(size, now) - now) if size else 0.0
 
     def next_batch(self, now: float) -> Batch | None:
-        """The next batch, of at most what the rate allows now, but one topic at least."""
+        """Return the next batch, limited to what the rate allows now but with at least one topic."""
         subscriptions, limiter = self.server.subscriptions, self.rate_limiter
         max_bytes = MAX_BATCH_BYTES
         if limiter is not None:
@@ -106,10 +113,10 @@
         return batch
 
     async def aclose(self) -> None:
-        """Note that the stream ended."""
+        """Tell the server that the stream has ended."""
         self.server.stream_closed(self)
 
     async def abort(self) -> None:
-        """End the connection: another of the subscriber has begun, and this one may hang in a write."""
+        """Abort the connection because a newer stream replaces it; a write on it may be blocked."""
         await abort(self.stream)
         self.wake.set()
