--- a/gullmount/distribution/relay.py
+++ b/gullmount/distribution/relay.py
@@ -36,7 +36,7 @@
 
 # A third of the silence after which a subscriber gives up a stream.
 HEARTBEAT_SECONDS = 2.0
-# Interval between checks whether the summary has changed.
+# Interval between checks for a changed summary.
 REPORT_CHECK_SECONDS = 0.5
 # Interval between reports of an unchanged summary. The origin counts a relay for 5 s without a report.
 REPORT_SECONDS = 2.0
@@ -97,11 +97,11 @@
         self.up_to_date.set()
         # The time from which the held state is sent even if the origin has not responded.
         self.refresh_deadline = 0.0
-        # The number of the first stream from the origin that confirms the held state; later streams do too.
+        # The number of the first stream that confirms the held state. Later streams confirm it too.
         self.refresh_stream = 0
 
     async def run(self, started: anyio.Event | None = None) -> None:
-        """Serve until cancelled. Cancellation ends all streams, so that subscribers move at once."""
+        """Serve until cancelled. Cancellation ends all streams, so subscribers move at once."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.upstream.run)
             tasks.start_soon(self.cleanup_loop)
--- a/gullmount/distribution/subscriber_server.py
+++ b/gullmount/distribution/subscriber_server.py
@@ -90,7 +90,7 @@
         """Raise UnavailableError while no state is known, as an unknown state must not be sent as empty."""
 
     def check_clock(self) -> None:
-        """Detect a pause of the process. Called before a request is handled."""
+        """Called before each request and each cleanup; a relay detects pauses of its process here."""
 
     async def wait_until_current(self) -> None:
         """Wait until the held state may be sent."""
@@ -100,7 +100,7 @@
         return 0.0
 
     def check_admission(self, message: SubscribeRequest) -> None:
-        """Raise MalformedMessageError for a request for another server, UnavailableError at a limit."""
+        """Raise MalformedMessageError for an unknown subscriber, UnavailableError at a limit."""
 
     def on_topics_requested(self, topics: Collection[str]) -> None:
         """Called when a subscriber requests these topics."""
--- a/gullmount/distribution/update_stream.py
+++ b/gullmount/distribution/update_stream.py
@@ -94,7 +94,7 @@
         raise StopAsyncIteration
 
     def rate_wait(self, now: float) -> float:
-        """Return the seconds until the rate limit allows the next batch; 0 if there is no batch to delay."""
+        """Return the seconds until the rate limit allows the next batch; 0 if none needs to wait."""
         if self.rate_limiter is None:
             return 0.0
         size = self.server.subscriptions.next_batch_bytes(self.name, self.session)
