--- a/gullmount/consensus/admission.py
+++ b/gullmount/consensus/admission.py
@@ -69,14 +69,14 @@
         if answer is None or acceptor.admitted.is_set():
             return
         async with acceptor.write_lock:
-            before = state.group
+            group_before = state.group
             try:
                 recovered = recovery.receive(replica, answer)
             except InvalidMessageError as error:
                 self.log(LogEvent.PEER_ANSWER_INVALID, replica=replica, reason=str(error))
                 return
             await acceptor.save()
-        acceptor.note_group(before)
+        acceptor.note_group(group_before)
         if recovered:
             self._admit()
 
--- a/gullmount/consensus/client.py
+++ b/gullmount/consensus/client.py
@@ -98,12 +98,12 @@
         for address in self.addresses_in_order(request.register):
             try:
                 with anyio.fail_after(self.answer_timeout_seconds):
-                    answer = await call(self.net, address, "POST", "/v1/register", body)
-                if answer.status == STATUS_OK:
-                    result = decode_as(answer.body, RegisterAnswer)
+                    response = await call(self.net, address, "POST", "/v1/register", body)
+                if response.status == STATUS_OK:
+                    result = decode_as(response.body, RegisterAnswer)
                     self.preferred[request.register] = address
                     return ChangeResult(result.changed, RegisterValue(result.version, result.value))
-                if is_change and answer.status == STATUS_OUTCOME_UNKNOWN:
+                if is_change and response.status == STATUS_OUTCOME_UNKNOWN:
                     raise OutcomeUnknownError
             except ConnectError:
                 continue
--- a/gullmount/consensus/config.py
+++ b/gullmount/consensus/config.py
@@ -56,9 +56,9 @@
     if len(members) not in GROUP_SIZES:
         raise MemberCountError(len(members))
     addresses = list(members.values())
-    twice = sorted({one for one in addresses if addresses.count(one) > 1})
-    if twice:
-        raise DuplicateAddressError(twice)
+    duplicates = sorted({address for address in addresses if addresses.count(address) > 1})
+    if duplicates:
+        raise DuplicateAddressError(duplicates)
 
 
 class ReplicaConfig(YamlModel):
--- a/gullmount/consensus/errors.py
+++ b/gullmount/consensus/errors.py
@@ -99,8 +99,8 @@
 class GroupSizeError(GroupChangeError):
     """The group would be too small to bear a loss, or too large."""
 
-    def __init__(self, count: int, least: int, most: int) -> None:
-        super().__init__(f"{count} replicas; {least} to {most} are a group")
+    def __init__(self, count: int, min_count: int, max_count: int) -> None:
+        super().__init__(f"{count} replicas; {min_count} to {max_count} are a group")
 
 
 class GroupUnchangedError(GroupChangeError):
@@ -183,15 +183,15 @@
 class RegisterLimitError(InvalidMessageError):
     """A client named one register more than a replica holds."""
 
-    def __init__(self, most: int) -> None:
-        super().__init__(f"more than {most} registers")
+    def __init__(self, max_registers: int) -> None:
+        super().__init__(f"more than {max_registers} registers")
 
 
 class RegisterNameError(InvalidMessageError):
     """A client named a register that can't exist."""
 
-    def __init__(self, longest: int) -> None:
-        super().__init__(f"a register's name has 1 to {longest} characters")
+    def __init__(self, max_characters: int) -> None:
+        super().__init__(f"a register's name has 1 to {max_characters} characters")
 
 
 class ReservedRegisterError(InvalidMessageError):
--- a/gullmount/consensus/group_client.py
+++ b/gullmount/consensus/group_client.py
@@ -41,15 +41,15 @@
         for address in list(self.addresses):
             try:
                 with anyio.fail_after(self.answer_timeout_seconds):
-                    answer = await call(self.net, address, "POST", "/v1/group", body)
-                if answer.status == STATUS_OK:
-                    decoded = decode_as(answer.body, GroupAnswer)
+                    response = await call(self.net, address, "POST", "/v1/group", body)
+                if response.status == STATUS_OK:
+                    decoded = decode_as(response.body, GroupAnswer)
                     self.addresses.remove(address)
                     self.addresses.insert(0, address)
                     return group_from(decoded.group)
-                if answer.status == STATUS_CONFLICT:
-                    raise GroupChangeRejectedError(answer.body.decode("utf-8", "replace").strip())
-                if answer.status == STATUS_OUTCOME_UNKNOWN:
+                if response.status == STATUS_CONFLICT:
+                    raise GroupChangeRejectedError(response.body.decode("utf-8", "replace").strip())
+                if response.status == STATUS_OUTCOME_UNKNOWN:
                     raise OutcomeUnknownError
             except ConnectError:
                 continue
@@ -62,10 +62,10 @@
         """Return the group; raise NoReplicaError."""
         return await self.send(GroupRequest())
 
-    async def change(self, make: Callable[[Members], Members]) -> ReplicaGroup:
+    async def change(self, change_members: Callable[[Members], Members]) -> ReplicaGroup:
         """Begin a change; `make` returns the new members for the present ones."""
         group = await self.show()
-        members = tuple(sorted(make(group.current).items()))
+        members = tuple(sorted(change_members(group.current).items()))
         return await self.send(GroupRequest(revision=group.revision, members=members))
 
     async def undo(self) -> ReplicaGroup:
--- a/gullmount/consensus/peers.py
+++ b/gullmount/consensus/peers.py
@@ -39,21 +39,23 @@
 
     async def ask_at(self, address: str, request: PeerRequest | JoinMarkRequest) -> PeerAnswer | None:
         """Send a request to an address; None where there is no usable answer."""
-        named = msgspec.structs.replace(request, sender=self.config.number, group_name=self.config.group)
+        identified_request = msgspec.structs.replace(
+            request, sender=self.config.number, group_name=self.config.group
+        )
         try:
             with anyio.fail_after(self.config.call_within):
-                answer = await self.pool.call(address, "POST", PEER_PATH, encode(named))
-            if answer.status != STATUS_OK:
+                response = await self.pool.call(address, "POST", PEER_PATH, encode(identified_request))
+            if response.status != STATUS_OK:
                 return None
-            message = decode_message(answer.body)
+            message = decode_message(response.body)
         except (CallError, InvalidMessageError, TimeoutError):
             return None
-        kind = ANSWERS.get(type(request))
-        if kind is None:
+        answer_type = ANSWERS.get(type(request))
+        if answer_type is None:
             return None
         try:
             head = convert(message, PeerAnswer)
-            return convert(message, kind if head.ok else RejectedAnswer)
+            return convert(message, answer_type if head.ok else RejectedAnswer)
         except InvalidMessageError as error:
             self.log(LogEvent.PEER_ANSWER_INVALID, address=address, reason=str(error))
             return None
--- a/gullmount/consensus/recovery.py
+++ b/gullmount/consensus/recovery.py
@@ -58,9 +58,9 @@
             if other != state.number:
                 state.note_incarnation(other, incarnation)
         if not isinstance(answer, JoinAnswer):
-            mine = known.get(state.number, 0)
-            if mine >= state.requested_incarnation:
-                self.request_incarnation(mine + 1)
+            own_incarnation = known.get(state.number, 0)
+            if own_incarnation >= state.requested_incarnation:
+                self.request_incarnation(own_incarnation + 1)
             return False
         if answer.complete:  # else it is asked again, for a later incarnation: by then it may be admitted
             registers = {message.register: register_from(message) for message in answer.registers}
@@ -82,8 +82,8 @@
 
     def _complete(self) -> None:
         state = self.state
-        for _, theirs in sorted(self.received.items(), key=lambda item: item[0]):
-            state.merge(theirs.registers)
+        for _, sent_state in sorted(self.received.items(), key=lambda item: item[0]):
+            state.merge(sent_state.registers)
         state.incarnation = state.requested_incarnation
         state.complete = True
         state.note_incarnation(state.number, state.incarnation)
--- a/gullmount/consensus/server.py
+++ b/gullmount/consensus/server.py
@@ -44,7 +44,11 @@
 WATCH_PATH = "/v1/watch"
 
 OK, BAD_REQUEST, NOT_FOUND, CONFLICT, UNAVAILABLE, OUTCOME_UNKNOWN = 200, 400, 404, 409, 503, 504
-BEFORE_ADMISSION = ("join", "adopt", "chosen")  # requests of other replicas that are answered at any time
+KINDS_BEFORE_ADMISSION = (
+    "join",
+    "adopt",
+    "chosen",
+)  # requests of other replicas that are answered at any time
 
 
 class RequestServer:
@@ -119,7 +123,7 @@
         message = decode_message(request.body)
         head = convert(message, RequestHead)
         self._check_sender(head, stream)
-        if head.kind not in BEFORE_ADMISSION and not self.acceptor.admitted.is_set():
+        if head.kind not in KINDS_BEFORE_ADMISSION and not self.acceptor.admitted.is_set():
             return Response(UNAVAILABLE, b"not admitted yet\n")
         if head.kind not in REQUESTS:
             raise UnknownRequestError(head.kind)
--- a/gullmount/consensus/storage.py
+++ b/gullmount/consensus/storage.py
@@ -126,8 +126,8 @@
             return None
         rows = {}
         for key, value, stored_checksum in self._read_rows():
-            sound = isinstance(key, str) and isinstance(value, bytes)
-            if not sound or checksum(key, value) != stored_checksum:
+            has_expected_types = isinstance(key, str) and isinstance(value, bytes)
+            if not has_expected_types or checksum(key, value) != stored_checksum:
                 raise CorruptedRowError(key)
             rows[key] = msgspec.json.decode(value)
         return rows or None
@@ -166,11 +166,11 @@
     def set_aside(self) -> Path:
         """Move a corrupted file out of the way; return where it is now."""
         self.close()
-        aside = self.path.with_suffix(".damaged")
-        for end in ("-wal", "-shm"):
-            Path(f"{self.path}{end}").unlink(missing_ok=True)
-        self.path.replace(aside)
-        return aside
+        damaged_path = self.path.with_suffix(".damaged")
+        for suffix in ("-wal", "-shm"):
+            Path(f"{self.path}{suffix}").unlink(missing_ok=True)
+        self.path.replace(damaged_path)
+        return damaged_path
 
     def close(self) -> None:
         """Close the file."""
--- a/tests/consensus/test_client.py
+++ b/tests/consensus/test_client.py
@@ -21,8 +21,8 @@
         client, seen = group.client(), []
 
         async def watch() -> None:
-            async for told in client.watch("job"):
-                seen.append(told)
+            async for update in client.watch("job"):
+                seen.append(update)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(watch)
@@ -37,8 +37,8 @@
         return seen
 
     seen = play_replicas(scene)
-    assert seen[-1] == RegisterValue(4, 3) and [told.version for told in seen] == sorted(
-        {told.version for told in seen}
+    assert seen[-1] == RegisterValue(4, 3) and [update.version for update in seen] == sorted(
+        {update.version for update in seen}
     )
 
 
@@ -51,8 +51,8 @@
         client.preferred["job"] = MEMBERS[1]
 
         async def watch() -> None:
-            async for told in client.watch("job"):
-                seen.append(told.value)
+            async for update in client.watch("job"):
+                seen.append(update.value)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(watch)
--- a/tests/consensus/test_group_changes.py
+++ b/tests/consensus/test_group_changes.py
@@ -34,7 +34,7 @@
 )
 
 
-def test_a_replica_takes_anothers_place_and_the_group_grows_to_five() -> None:
+def test_group_replaces_a_replica_and_grows_to_five() -> None:
     async def scene(group: ReplicaScene) -> None:
         client, operator = group.client(), group_client(group)
         await client.change("job", 0, "a")
@@ -62,33 +62,33 @@
     play_replicas(scene)
 
 
-def test_a_change_that_cannot_be_made_says_why_and_two_at_once_are_one() -> None:
+def test_invalid_change_is_rejected_with_a_reason_and_one_of_two_concurrent_changes_begins() -> None:
     async def scene(group: ReplicaScene) -> None:
-        one, other = group_client(group), group_client(group)
+        first_operator, second_operator = group_client(group), group_client(group)
         with pytest.raises(GroupChangeRejectedError, match="replica 4 does not answer"):
-            await one.change(lambda now: FOUR_FOR_ONE)
+            await first_operator.change(lambda now: FOUR_FOR_ONE)
         group.begin(4, 5)
         await anyio.sleep(1)
-        ends: list[str] = []
+        outcomes: list[str] = []
 
-        async def ask(who: ReplicaGroupClient, members: dict[int, str]) -> None:
+        async def ask(group_operator: ReplicaGroupClient, members: dict[int, str]) -> None:
             try:
-                await who.change(lambda now: members)
-                ends.append("begun")
-            except GroupChangeRejectedError as why:
-                ends.append(str(why))
+                await group_operator.change(lambda now: members)
+                outcomes.append("begun")
+            except GroupChangeRejectedError as error:
+                outcomes.append(str(error))
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(ask, one, FOUR_FOR_ONE)
-            tasks.start_soon(ask, other, {**MEMBERS, 5: "10.0.0.5:7299"})
-        assert sorted(ends)[-1] == "begun" and ends.count("begun") == 1
-        now = (await one.wait_until_settled()).current
+            tasks.start_soon(ask, first_operator, FOUR_FOR_ONE)
+            tasks.start_soon(ask, second_operator, {**MEMBERS, 5: "10.0.0.5:7299"})
+        assert sorted(outcomes)[-1] == "begun" and outcomes.count("begun") == 1
+        now = (await first_operator.wait_until_settled()).current
         assert now in (FOUR_FOR_ONE, {**MEMBERS, 5: "10.0.0.5:7299"})
 
     play_replicas(scene)
 
 
-def test_a_change_without_a_majority_waits_and_is_completed_once_they_are_back() -> None:
+def test_change_without_a_majority_completes_once_the_replicas_are_back() -> None:
     async def scene(group: ReplicaScene) -> None:
         operator = group_client(group)
         store = group.storages[4] = MemoryStorage()
@@ -111,9 +111,9 @@
     play_replicas(scene)
 
 
-def test_a_change_under_way_is_reverted() -> None:
+def test_change_under_way_is_reverted_by_undo() -> None:
     async def scene(group: ReplicaScene) -> None:
-        class Deadly(MemoryStorage):
+        class DriverKillingStorage(MemoryStorage):
             """Of who joins: who drives the change dies as soon as it is told; others take over later."""
 
             async def save(self, rows: dict[str, Any]) -> None:
@@ -122,7 +122,7 @@
                     group.kill(1)
 
         operator = group_client(group)
-        group.storages[4] = Deadly()
+        group.storages[4] = DriverKillingStorage()
         group.begin(4)
         await anyio.sleep(1)
         with pytest.raises(GroupChangeRejectedError, match="no change is under way"):
@@ -144,12 +144,14 @@
     play_replicas(scene)
 
 
-@pytest.mark.parametrize("before", [True, False])
-@pytest.mark.parametrize("dies", [1, 2])
-def test_a_replica_killed_at_each_write_of_a_change_leaves_it_complete(dies: int, before: bool) -> None:
+@pytest.mark.parametrize("before_write", [True, False])
+@pytest.mark.parametrize("killed_replica", [1, 2])
+def test_change_completes_after_a_replica_is_killed_at_any_write(
+    killed_replica: int, before_write: bool
+) -> None:
     """Who drives the change, which leaves by it, and one that stays; then its disk as it is, or blank."""
 
-    async def scene(group: ReplicaScene, at: int, blank: bool) -> tuple[list[dict[str, Any]], int]:
+    async def scene(group: ReplicaScene, write_number: int, blank: bool) -> tuple[list[dict[str, Any]], int]:
         record, client, operator = Record(), group.client(), group_client(group)
         operator.addresses = [MEMBERS[1], *operator.addresses]
 
@@ -160,12 +162,12 @@
         await ask("a", 0)
         group.begin(4)
         await anyio.sleep(0.5)
-        rows = group.storages[dies].rows
-        store = KillingStorage(rows, at + 2, before, lambda: group.kill(dies))
-        group.kill(dies)
+        rows = group.storages[killed_replica].rows
+        store = KillingStorage(rows, write_number + 2, before_write, lambda: group.kill(killed_replica))
+        group.kill(killed_replica)
         await anyio.sleep(0.5)
-        group.storages[dies] = store
-        group.begin(dies)
+        group.storages[killed_replica] = store
+        group.begin(killed_replica)
         await anyio.sleep(2)
         with anyio.move_on_after(5):
             try:
@@ -173,12 +175,12 @@
             except (OutcomeUnknownError, NoReplicaError):
                 pass
         await ask("b", (await ask("c", None)).version)
-        group.kill(dies)
+        group.kill(killed_replica)
         await anyio.sleep(0.5)
-        group.storages[dies] = MemoryStorage()
+        group.storages[killed_replica] = MemoryStorage()
         if not blank:
-            group.storages[dies].rows = rows
-        group.begin(dies)
+            group.storages[killed_replica].rows = rows
+        group.begin(killed_replica)
         await anyio.sleep(1)
         with anyio.fail_after(20):  # another finishes it, without the operator
             now = (await operator.wait_until_settled()).current
@@ -192,25 +194,27 @@
         return record.events, store.left
 
     finished = 0
-    for at in range(1, 14):
+    for write_number in range(1, 14):
         for blank in (True, False):
-            events, left = play_replicas(lambda group, at=at, blank=blank: scene(group, at, blank))
-            assert check_history(events).breaches == [], (at, blank)
+            events, left = play_replicas(
+                lambda group, write_number=write_number, blank=blank: scene(group, write_number, blank)
+            )
+            assert check_history(events).breaches == [], (write_number, blank)
             finished += left <= 0
     assert finished > 12, "hardly any death came in the middle"
 
 
-def test_the_command_replaces_a_replica_on_processes(tmp_path: Path) -> None:
+def test_group_command_replaces_a_replica_of_a_process_group(tmp_path: Path) -> None:
     block = f"{reserve_harness_block()}.5"
     members = {number: f"{block}.{number}:7299" for number in (1, 2, 3)}
     processes: dict[int, Process] = {}
 
-    def begin(number: int, *found: str) -> None:
-        told = {"number": number, "group": "g", "members": members, "disk": str(tmp_path / str(number))}
-        told |= {"listen": f"{block}.{number}:7299"}
+    def begin(number: int, *options: str) -> None:
+        config = {"number": number, "group": "g", "members": members, "disk": str(tmp_path / str(number))}
+        config |= {"listen": f"{block}.{number}:7299"}
         file = tmp_path / f"{number}.yaml"
-        file.write_text(json.dumps(told))
-        processes[number] = Process(["keeper", str(file), *found], tmp_path / f"{number}.log")
+        file.write_text(json.dumps(config))
+        processes[number] = Process(["keeper", str(file), *options], tmp_path / f"{number}.log")
 
     def group(*arguments: str) -> subprocess.CompletedProcess[str]:
         command = [sys.executable, "-m", "gullmount", "group", *arguments]
@@ -225,14 +229,14 @@
             if shown.returncode == 0:
                 break
         assert json.loads(shown.stdout)["now"].keys() == {"1", "2", "3"}, shown.stderr
-        refused = group("leave", str(tmp_path / "1.yaml"), "3")
-        assert refused.returncode == 1 and "3 to 5 are a group" in refused.stderr
-        bad = group("join", str(tmp_path / "1.yaml"), "4", "nowhere")
-        assert bad.returncode == 2 and "nowhere" in bad.stderr
-        place = f"{block}.4:7299"
-        done = group("join", str(tmp_path / "2.yaml"), "4", place, "--in-place-of", "1", "--json")
-        assert done.returncode == 0, done.stdout + done.stderr
-        assert json.loads(done.stdout)["now"].keys() == {"2", "3", "4"}
+        rejected = group("leave", str(tmp_path / "1.yaml"), "3")
+        assert rejected.returncode == 1 and "3 to 5 are a group" in rejected.stderr
+        invalid = group("join", str(tmp_path / "1.yaml"), "4", "nowhere")
+        assert invalid.returncode == 2 and "nowhere" in invalid.stderr
+        address = f"{block}.4:7299"
+        completed = group("join", str(tmp_path / "2.yaml"), "4", address, "--in-place-of", "1", "--json")
+        assert completed.returncode == 0, completed.stdout + completed.stderr
+        assert json.loads(completed.stdout)["now"].keys() == {"2", "3", "4"}
         processes.pop(1).kill()
         processes.pop(2).kill()
         begin(2)
--- a/tests/consensus/test_recovery.py
+++ b/tests/consensus/test_recovery.py
@@ -10,14 +10,14 @@
 )
 
 
-def test_a_replica_made_anew_does_not_help_another_to_recover() -> None:
+def test_state_of_a_replica_that_lost_its_storage_does_not_count_for_recovery() -> None:
     state, recovery = AcceptorState(1, THREE), Recovery(AcceptorState(1, THREE))
-    again = AcceptorState(2, THREE)
-    again.bootstrap()
-    known = AcceptorState(3, THREE)
-    known.bootstrap()
+    blank_state = AcceptorState(2, THREE)
+    blank_state.bootstrap()
+    remembering_state = AcceptorState(3, THREE)
+    remembering_state.bootstrap()
     # Replica 2 once asked for its fourth incarnation, and now says that it never did.
-    known.answer_join(2, 4)
+    remembering_state.answer_join(2, 4)
     assert answers_to_recover(3) == 2 and state.incarnation == 0
-    assert not recovery.receive(2, again.answer_join(1, recovery.state.requested_incarnation))
-    assert not recovery.receive(3, known.answer_join(1, recovery.state.requested_incarnation))
+    assert not recovery.receive(2, blank_state.answer_join(1, recovery.state.requested_incarnation))
+    assert not recovery.receive(3, remembering_state.answer_join(1, recovery.state.requested_incarnation))
--- a/tests/consensus/test_server.py
+++ b/tests/consensus/test_server.py
@@ -41,7 +41,7 @@
         b"[" * 70000,
     ],
 )
-def test_invalid_messages_are_dropped_with_a_log_line_and_change_nothing(message: bytes) -> None:
+def test_invalid_messages_are_rejected_and_change_nothing(message: bytes) -> None:
     async def scene(group: ReplicaScene) -> None:
         before = dict(group.storages[1].rows)
         with anyio.move_on_after(2):
@@ -56,7 +56,7 @@
     play_replicas(scene)
 
 
-def test_a_change_of_the_group_comes_only_by_its_own_call() -> None:
+def test_group_register_cannot_be_changed_by_a_register_request() -> None:
     async def scene(group: ReplicaScene) -> None:
         with pytest.raises((OutcomeUnknownError, NoReplicaError)):
             await group.client().change(GROUP, 0, {"now": [], "next": []})
@@ -66,7 +66,7 @@
     play_replicas(scene)
 
 
-def test_a_watch_without_a_register_does_not_end_the_replica() -> None:
+def test_replica_keeps_serving_after_a_watch_request_without_a_register() -> None:
     async def scene(group: ReplicaScene) -> None:
         with anyio.move_on_after(2):
             await call(group.party("10.0.0.2"), MEMBERS[1], "GET", "/v1/watch?register=")
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -25,39 +25,39 @@
 from tests.support.replicas import MEMBERS
 
 
-def test_sqlite_keeps_what_was_written_and_finds_what_was_not(tmp_path: Path) -> None:
-    store = SqliteStorage(tmp_path / "disk")
-    assert store.load() is None
-    store.write({"self": {"number": 1}, "slot/a": [1]})
-    store.write({"slot/a": [2]})
+def test_sqlite_storage_returns_written_rows_and_detects_corruption(tmp_path: Path) -> None:
+    sqlite_storage = SqliteStorage(tmp_path / "disk")
+    assert sqlite_storage.load() is None
+    sqlite_storage.write({"self": {"number": 1}, "slot/a": [1]})
+    sqlite_storage.write({"slot/a": [2]})
     with pytest.raises(StorageWriteError):
         SqliteStorage(tmp_path / "disk").load()  # a second process on one disk
-    store.close()
-    again = SqliteStorage(tmp_path / "disk")
-    assert again.load() == {"self": {"number": 1}, "slot/a": [2]}
-    again.close()
-    data = store.path.read_bytes()
-    place = data.rindex(msgspec.json.encode([2]))
-    store.path.write_bytes(data[:place] + b"[3]" + data[place + 3 :])
+    sqlite_storage.close()
+    reopened = SqliteStorage(tmp_path / "disk")
+    assert reopened.load() == {"self": {"number": 1}, "slot/a": [2]}
+    reopened.close()
+    data = sqlite_storage.path.read_bytes()
+    offset = data.rindex(msgspec.json.encode([2]))
+    sqlite_storage.path.write_bytes(data[:offset] + b"[3]" + data[offset + 3 :])
     with pytest.raises(StorageCorruptedError):
-        again.load()
-    again.set_aside()
-    assert again.load() is None
-    store.path.write_bytes(data[: len(data) // 2])
+        reopened.load()
+    reopened.set_aside()
+    assert reopened.load() is None
+    sqlite_storage.path.write_bytes(data[: len(data) // 2])
     with pytest.raises(StorageCorruptedError):
-        again.load()
+        reopened.load()
 
 
 # What version 883dea8 stored
 
-STORED = DATA / "replicas_883dea8"
-AS_READ: dict[str, Any] = json.loads((STORED / "as_read.json").read_text())
+STORED_FOLDER = DATA / "replicas_883dea8"
+EXPECTED_READ: dict[str, Any] = json.loads((STORED_FOLDER / "as_read.json").read_text())
 
 
 @pytest.mark.parametrize("number", [1, 2, 3, 4])
-def test_what_an_earlier_version_stored_is_read_alike(number: int, tmp_path: Path) -> None:
-    shutil.copytree(STORED / f"replica-{number}", tmp_path, dirs_exist_ok=True)
-    expected = AS_READ[str(number)]
+def test_storage_of_an_earlier_version_is_read_with_the_same_content(number: int, tmp_path: Path) -> None:
+    shutil.copytree(STORED_FOLDER / f"replica-{number}", tmp_path, dirs_exist_ok=True)
+    expected = EXPECTED_READ[str(number)]
     config = read_yaml(tmp_path / "replica.yaml", ReplicaConfig)
     assert (config.number, config.group, config.members, config.disk) == (number, "g", MEMBERS, "disk")
     assert config.listen == f"10.0.0.{number}:7299"
@@ -94,8 +94,8 @@
     storage.close()
 
 
-def test_what_is_stored_again_is_byte_for_byte_what_an_earlier_version_stored(tmp_path: Path) -> None:
-    shutil.copytree(STORED / "replica-4", tmp_path, dirs_exist_ok=True)
+def test_rows_stored_again_equal_those_of_an_earlier_version_byte_for_byte(tmp_path: Path) -> None:
+    shutil.copytree(STORED_FOLDER / "replica-4", tmp_path, dirs_exist_ok=True)
     storage = SqliteStorage(tmp_path)
     rows = storage.load()
     assert rows is not None
@@ -106,7 +106,7 @@
     for register in state.registers:
         state.note_register(register)
     state.unsaved_rows["group"] = state.group.message()
-    again = {key: msgspec.json.encode(row) for key, row in state.take_unsaved_rows().items()}
+    stored_again = {key: msgspec.json.encode(row) for key, row in state.take_unsaved_rows().items()}
     with closing(sqlite3.connect(tmp_path / FILE_NAME)) as db:
         stored = dict(db.execute("SELECT key, value FROM word WHERE key NOT LIKE 'life/%'").fetchall())
-    assert again == stored
+    assert stored_again == stored
