--- a/gullmount/consensus/__init__.py
+++ b/gullmount/consensus/__init__.py
@@ -1,7 +1,10 @@
-"""Replicas that agree on named registers.
+"""Replicated registers: named values on which a group of replicas agrees.
 
-A register changes only by a compare-and-set that a majority of the replicas wrote to disk before it was
-answered. `acceptor`, `ballot_round`, `membership` and `recovery` hold the rules, without I/O, clock or
-randomness; `replica` and what it is made of run them on a network; `client` and `group_client` are the other
-side.
+A register changes only by a compare-and-set. A majority of the replicas writes the change to disk before the
+client receives the answer.
+
+- `acceptor`, `ballot_round`, `membership` and `recovery` implement the protocol, without I/O, clock or
+  randomness.
+- `replica` and the modules that it combines run the protocol on a network.
+- `client` and `group_client` send requests to the replicas.
 """
--- a/gullmount/consensus/admission.py
+++ b/gullmount/consensus/admission.py
@@ -1,4 +1,4 @@
-"""How a replica that starts is admitted: it recovers from the others, or finds that it is a new member."""
+"""Admits a replica after its start: it recovers its state from the others, or it is a new member."""
 
 from __future__ import annotations
 
@@ -13,12 +13,23 @@
 from gullmount.consensus.recovery import Recovery
 from gullmount.rpc import InvalidMessageError
 
-JOIN_RETRY_SECONDS = 0.25  # between requests to the others, up to twice that by chance
+# Minimum wait between rounds of requests to the other replicas. The wait is drawn at random from one to two
+# times this.
+JOIN_RETRY_SECONDS = 0.25
 JOIN_MARK_BITS = 62
 
 
 class Admission:
-    """One start of a replica; `run` it in a task, which ends when the replica is admitted."""
+    """Admits a replica once per start. `run` is run in a task that ends when the replica is admitted.
+
+    Attributes:
+        acceptor: Acceptor of the replica itself.
+        peers: Client for the other replicas.
+        random: Draws waits and the join mark.
+        vouched: Whether the replica takes part without recovery if its stored state is complete, because the
+            operator vouches for the storage.
+        log: Receives an event and its fields.
+    """
 
     def __init__(
         self, acceptor: LocalAcceptor, peers: PeerClient, random: Random, vouched: bool, log: Log
@@ -30,7 +41,11 @@
         self.log = log
 
     async def run(self) -> None:
-        """Ask the others until the replica is admitted; raise StorageWriteError."""
+        """Ask the other replicas until this one is admitted.
+
+        Raises:
+            StorageWriteError: The state could not be stored.
+        """
         acceptor = self.acceptor
         if self.vouched and acceptor.state.complete:
             self._admit(vouched=True)
--- a/gullmount/consensus/client.py
+++ b/gullmount/consensus/client.py
@@ -1,4 +1,4 @@
-"""Registers as their users see them: read, change if unchanged, watch. Any replica will do."""
+"""Client of the registers: reads, changes by compare-and-set, and watches them through any replica."""
 
 from __future__ import annotations
 
@@ -26,22 +26,25 @@
     stream_lines,
 )
 
-BACKOFF_SECONDS = 0.2  # before a broken watch is opened again, up to twice that by chance; doubles
-MAX_BACKOFF_SECONDS = 2.0  # a lease holder must be known within a term
+# Backoff before a broken watch is opened again, doubled with each attempt. The wait is drawn at random from
+# one to two times the backoff.
+BACKOFF_SECONDS = 0.2
+# Maximum backoff. A client must learn of a new lease holder within a term.
+MAX_BACKOFF_SECONDS = 2.0
 STATUS_OK = 200
 STATUS_OUTCOME_UNKNOWN = 504
 
 
 class RegisterClient:
-    """Calls to replicas.
+    """Sends register requests to the replicas.
 
-    Calls for one register go to one replica as long as it answers: rounds of two replicas supersede each
-    other.
+    Requests for one register go to the same replica as long as it answers, because rounds that two replicas
+    run for one register supersede each other.
 
     Attributes:
-        addresses: of the replicas.
-        preferred: by register, the address that is asked first.
-        answer_timeout_seconds: for one call.
+        addresses: Addresses of the replicas.
+        preferred: Address that is called first, by register.
+        answer_timeout_seconds: Timeout of one call.
     """
 
     def __init__(
@@ -60,7 +63,7 @@
         self.preferred: dict[str, str] = {}
 
     def addresses_in_order(self, register: str) -> list[str]:
-        """Return the addresses in the order in which they are asked."""
+        """Return the addresses in the order in which they are called for a register."""
         addresses = self.addresses
         first = crc32(register.encode())
         if self.preferred.get(register) in addresses:
@@ -68,7 +71,10 @@
         return [addresses[(first + step) % len(addresses)] for step in range(len(addresses))]
 
     async def follow_group(self) -> None:
-        """Go by the group as the replicas tell it, from the addresses known now, for ever."""
+        """Watch the replica group and keep `addresses` up to date with its members, until cancelled.
+
+        The watch starts from the addresses known now.
+        """
         async for chosen in self.watch(GROUP):
             if chosen.version == 0:
                 continue
@@ -80,18 +86,34 @@
             self.addresses = [address for _, address in sorted(group.addresses.items())]
 
     async def read(self, register: str) -> RegisterValue:
-        """Return what is chosen; raise NoReplicaError."""
+        """Return the chosen value of a register.
+
+        Raises:
+            NoReplicaError: No replica gave a usable answer.
+        """
         return (await self.send(RegisterRequest(register=register))).chosen
 
     async def change(self, register: str, expected_version: int, value: Any) -> ChangeResult:
-        """Return whether changed, and what is chosen now; raise NoReplicaError, OutcomeUnknownError."""
+        """Set a register to `value` if its version is still `expected_version`.
+
+        Returns:
+            Whether the register was changed, and its chosen value now.
+
+        Raises:
+            NoReplicaError: No replica gave a usable answer; nothing was changed.
+            OutcomeUnknownError: The change may have been made or not.
+        """
         request = RegisterRequest(register=register, expected_version=expected_version, value=value)
         return await self.send(request)
 
     async def send(self, request: RegisterRequest) -> ChangeResult:
-        """Ask one replica after the other; raise NoReplicaError, OutcomeUnknownError.
+        """Send a request to one replica after the other until one answers it.
+
+        A change is not sent to another replica once a replica may have received it.
 
-        A change is not sent again once a replica may have got it.
+        Raises:
+            NoReplicaError: No replica gave a usable answer; nothing was changed.
+            OutcomeUnknownError: The change may have been made or not.
         """
         is_change = isinstance(request.expected_version, int)
         body = encode(request)
@@ -113,9 +135,10 @@
         raise NoReplicaError
 
     async def watch(self, register: str) -> AsyncIterator[RegisterValue]:
-        """Yield each value that is seen, for ever.
+        """Yield each newer value of a register that the replicas report, until cancelled.
 
-        What changed while a watch was broken is seen when the next one begins.
+        A broken watch is opened again at the next replica. It begins with the register's value, which covers
+        the changes made in the meantime.
         """
         backoff, version, attempts = BACKOFF_SECONDS, -1, 0
         while True:
--- a/gullmount/consensus/config.py
+++ b/gullmount/consensus/config.py
@@ -1,4 +1,7 @@
-"""A replica's YAML file; fields are named as its keys are. Times in seconds."""
+"""Configuration of a replica, read from its YAML file.
+
+The fields have the names of the file's keys. Times are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -10,38 +13,42 @@
 from gullmount.net.types import parse_address
 from gullmount.yamlfile import YamlModel
 
-GROUP_SIZES = (3, 4, 5)  # three bear the loss of one, five of two; four are on their way
+# Allowed numbers of replicas. Three tolerate the loss of one, five the loss of two. Four occur while a group
+# grows or shrinks.
+GROUP_SIZES = (3, 4, 5)
 
 
 class ReplicaConfigError(GullmountError, ValueError):
-    """Base of what is wrong with the members that a file names; its author is at fault."""
+    """Base of the errors in the members that a configuration file names. The file has to be corrected."""
 
 
 class MemberCountError(ReplicaConfigError):
-    """The file names too few or too many replicas."""
+    """The file names too few or too many replicas for a group."""
 
     def __init__(self, count: int) -> None:
-        super().__init__(f"{count} replicas are named; three to five are a group")
+        super().__init__(f"{count} replicas are named, but a group has three to five")
 
 
 class DuplicateAddressError(ReplicaConfigError):
-    """The file names an address twice."""
+    """The file gives two replicas the same address."""
 
     def __init__(self, addresses: list[str]) -> None:
         super().__init__(f"address named twice: {', '.join(addresses)}")
 
 
 class MissingListenError(ReplicaConfigError):
-    """The file is that of a replica which is to join, but doesn't say where it listens."""
+    """The replica is not among the members, as before it joins, and the file has no `listen` address."""
 
     def __init__(self, number: int) -> None:
-        super().__init__(
-            f"number is {number}, which is not among the members: one that is to join needs listen"
-        )
+        super().__init__(f"number {number} is not among the members: a replica that is to join needs listen")
 
 
 def valid_address(text: str) -> str:
-    """Return `text` if it is of the form `host:port`; raise ValueError otherwise."""
+    """Return `text` unchanged if it has the form `host:port`.
+
+    Raises:
+        ValueError: It has another form.
+    """
     parse_address(text)
     return text
 
@@ -52,7 +59,11 @@
 
 
 def validate_members(members: dict[int, str]) -> None:
-    """Raise ReplicaConfigError where these can't be the members of a group."""
+    """Check that the members can form a group.
+
+    Raises:
+        ReplicaConfigError: Their count is not allowed, or two have the same address.
+    """
     if len(members) not in GROUP_SIZES:
         raise MemberCountError(len(members))
     addresses = list(members.values())
@@ -62,17 +73,17 @@
 
 
 class ReplicaConfig(YamlModel):
-    """One replica's file.
+    """Configuration of one replica.
 
     Attributes:
-        number: which replica of the group it is.
-        group: the name of the group, the same for all of its replicas.
-        members: addresses by number; they count until the group was changed once. A replica that is to join
-            names those that are there.
-        disk: folder of the storage.
-        listen: where it listens, if not where the others find it.
-        call_within: seconds for one call of another replica.
-        settle_within: seconds for one proposal, after which its outcome is unknown.
+        number: Number of the replica in its group.
+        group: Name of the group, the same for all of its replicas.
+        members: Addresses of the members by number. They apply until the group is changed for the first
+            time. The file of a replica that is to join names the members that are already there.
+        disk: Folder of the storage.
+        listen: Address at which the replica listens, if it differs from its address among the members.
+        call_within: Timeout of one call to another replica, in seconds.
+        settle_within: Timeout of one proposal, in seconds. After it the outcome is unknown.
     """
 
     number: Number
--- a/gullmount/consensus/errors.py
+++ b/gullmount/consensus/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the package: of clients, of proposers, of changes of the group, of storage."""
+"""Errors of clients, proposers, group changes, messages and the storage."""
 
 from __future__ import annotations
 
@@ -7,59 +7,59 @@
 
 
 class ConsensusError(GullmountError):
-    """Base of the errors of registers and of the replicas that hold them."""
+    """Base of the errors of registers and of the replicas that store them."""
 
 
 class NoReplicaError(ConsensusError):
-    """No replica gave a usable answer to a client; nothing was changed."""
+    """A client received no usable answer from any replica; nothing was changed."""
 
     def __init__(self) -> None:
         super().__init__("no replica gave a usable answer; nothing was changed")
 
 
 class NoMajorityError(ConsensusError):
-    """Too few replicas answered a proposer; nothing was changed."""
+    """A proposer received answers from too few replicas; nothing was changed."""
 
 
 class QueueFullError(NoMajorityError):
-    """More proposals for one register wait for their turn than a replica takes."""
+    """A replica's queue of proposals for one register is full; nothing was changed."""
 
     def __init__(self) -> None:
-        super().__init__("too many wait")
+        super().__init__("too many proposals for the register are waiting")
 
 
 class MajorityTimeoutError(NoMajorityError):
-    """No majority answered in time."""
+    """A proposer received no answers from a majority in time; nothing was changed."""
 
     def __init__(self) -> None:
         super().__init__("no majority answered in time")
 
 
 class OutcomeUnknownError(ConsensusError):
-    """A change may have been made or not: read the register to find out."""
+    """A change may have been made or not. The client has to read the register to find out."""
 
     def __init__(self, cause: str = "no answer in time") -> None:
         super().__init__(cause)
 
 
 class ProposalTimeoutError(OutcomeUnknownError):
-    """No majority answered in time, after a replica may have accepted the change."""
+    """A proposer received no answers from a majority in time, but a replica may have accepted the change."""
 
     def __init__(self) -> None:
         super().__init__("no majority answered in time")
 
 
 class ChangeOverwrittenError(OutcomeUnknownError):
-    """Another change stands where this one may have been."""
+    """Another change has been chosen since. It is unknown whether this one was chosen before it."""
 
     def __init__(self) -> None:
         super().__init__("changed since")
 
 
 class GroupChangeError(ConsensusError):
-    """A change of the replica group was asked for that can't be made; nothing was changed.
+    """An operator requested a change of the replica group that is not possible; nothing was changed.
 
-    The text of each subclass goes to the operator, whose request is at fault.
+    The message of each subclass is sent to the operator, who has to correct the request.
     """
 
 
@@ -67,7 +67,7 @@
     """A replica rejected the operator's change of the group.
 
     Attributes:
-        reason: the replica's own words.
+        reason: Error message of the replica.
     """
 
     def __init__(self, reason: str) -> None:
@@ -90,150 +90,150 @@
 
 
 class NoChangeInProgressError(GroupChangeError):
-    """There is no change of the group to be reverted."""
+    """The operator requested to revert a change of the group, but none is under way."""
 
     def __init__(self) -> None:
         super().__init__("no change is under way")
 
 
 class GroupSizeError(GroupChangeError):
-    """The group would be too small to bear a loss, or too large."""
+    """The group would be too small to tolerate the loss of a replica, or too large."""
 
     def __init__(self, count: int, min_count: int, max_count: int) -> None:
-        super().__init__(f"{count} replicas; {min_count} to {max_count} are a group")
+        super().__init__(f"{count} replicas cannot be a group; {min_count} to {max_count} are a group")
 
 
 class GroupUnchangedError(GroupChangeError):
-    """The members asked for are the present ones."""
+    """The requested members are the current ones."""
 
     def __init__(self) -> None:
-        super().__init__("these are the members now")
+        super().__init__("the requested members are the members now")
 
 
 class TooManyChangesError(GroupChangeError):
-    """More than one replica would join or leave at a time."""
+    """The change would add or remove more than one replica at a time."""
 
     def __init__(self) -> None:
-        super().__init__("one replica at a time joins, leaves or takes another's place")
+        super().__init__("only one replica at a time can join, leave or replace another")
 
 
 class ReplicaNumberReusedError(GroupChangeError):
-    """The replica that is to join has a number that was used before."""
+    """The replica that is to join has a number that a member had before."""
 
     def __init__(self, number: int, highest: int) -> None:
-        super().__init__(f"replica {number} is no new number: {highest} was the highest so far")
+        super().__init__(f"replica {number} has no new number: {highest} is the highest one used so far")
 
 
 class DuplicateAddressError(GroupChangeError):
-    """Two members of the group would have one address."""
+    """Two members of the group would have the same address."""
 
     def __init__(self) -> None:
         super().__init__("two replicas have one address")
 
 
 class JoiningReplicaError(GroupChangeError):
-    """The replica that is to join doesn't answer, or isn't new."""
+    """The replica that is to join does not answer, or it is not new."""
 
     def __init__(self, number: int, address: str) -> None:
-        super().__init__(f"replica {number} does not answer at {address}, or is not new")
+        super().__init__(f"replica {number} does not answer at {address}, or it is not new")
 
 
 class StaleRevisionError(GroupChangeError):
-    """The change was asked for over another revision of the group than the present one."""
+    """The change was requested for another revision of the group than the current one."""
 
     def __init__(self, revision: int) -> None:
-        super().__init__(f"the group's revision is {revision}")
+        super().__init__(f"the group's current revision is {revision}")
 
 
 class ConcurrentChangeError(GroupChangeError):
-    """Another change of the group was written first."""
+    """Another change of the group was chosen first."""
 
     def __init__(self, revision: int) -> None:
-        super().__init__(f"another change came first, revision {revision}")
+        super().__init__(f"another change was made first: the group is at revision {revision}")
 
 
 class ChangeRevertedError(GroupChangeError):
     """The change that the operator waited for was reverted, or another one followed."""
 
     def __init__(self) -> None:
-        super().__init__("it was undone, or another change came")
+        super().__init__("the change was reverted, or another one followed")
 
 
 class ForeignMessageError(InvalidMessageError):
-    """A message between replicas comes from outside the group."""
+    """A message between replicas names another group, or a sender that is not in this one."""
 
     def __init__(self) -> None:
-        super().__init__("not of this group")
+        super().__init__("the sender is not in this group")
 
 
 class SourceAddressError(InvalidMessageError):
-    """A message names a replica as its sender, but comes from another host."""
+    """A message comes from another host than the replica that it names as its sender."""
 
     def __init__(self) -> None:
-        super().__init__("not from that replica's address")
+        super().__init__("the message does not come from its sender's address")
 
 
 class UnknownRequestError(InvalidMessageError):
-    """A replica sent a request of a kind that there isn't."""
+    """A replica sent a request of an unknown kind."""
 
     def __init__(self, kind: str) -> None:
-        super().__init__(f"no request between replicas is named {kind[:40]!r}")
+        super().__init__(f"unknown kind of request between replicas: {kind[:40]!r}")
 
 
 class RegisterLimitError(InvalidMessageError):
-    """A client named one register more than a replica holds."""
+    """A client named a new register, but the replica already has the maximum number of registers."""
 
     def __init__(self, max_registers: int) -> None:
-        super().__init__(f"more than {max_registers} registers")
+        super().__init__(f"the replica cannot store more than {max_registers} registers")
 
 
 class RegisterNameError(InvalidMessageError):
-    """A client named a register that can't exist."""
+    """A client named a register with an empty name or one that is too long."""
 
     def __init__(self, max_characters: int) -> None:
         super().__init__(f"a register's name has 1 to {max_characters} characters")
 
 
 class ReservedRegisterError(InvalidMessageError):
-    """A client would write the register of the group, which has a call of its own."""
+    """A client tried to write the register of the group, which is changed by a separate request."""
 
     def __init__(self) -> None:
-        super().__init__("the group is changed by a call of its own")
+        super().__init__("the register of the group is changed by a group request only")
 
 
 class ValueTooLongError(InvalidMessageError):
-    """A client's value is longer than a register holds."""
+    """A client sent a value that is longer than allowed."""
 
     def __init__(self, max_bytes: int) -> None:
         super().__init__(f"the value is longer than {max_bytes} bytes")
 
 
 class InvalidGroupError(InvalidMessageError):
-    """A message or a register holds a group that can't be one."""
+    """A message or a register contains an invalid replica group."""
 
     def __init__(self, problem: str) -> None:
-        super().__init__(f"not a replica group: {problem}")
+        super().__init__(f"invalid replica group: {problem}")
 
 
 class TooManyMembersError(InvalidGroupError):
-    """A message or a register names more members than a group has."""
+    """A message or a register names more members than a group may have."""
 
     def __init__(self) -> None:
         super().__init__("too many members")
 
 
 class TooFewMembersError(InvalidGroupError):
-    """A message or a register names fewer members than a group has."""
+    """A message or a register names fewer members than a group must have."""
 
     def __init__(self) -> None:
         super().__init__("too few members")
 
 
 class ForeignStorageError(InvalidMessageError):
-    """The storage is that of another replica: the file was moved, or the configuration is wrong."""
+    """The storage belongs to another replica: the file was moved, or the configuration is wrong."""
 
     def __init__(self, number: int) -> None:
-        super().__init__(f"the storage is that of replica {number}")
+        super().__init__(f"the storage belongs to replica {number}")
 
 
 class StorageError(ConsensusError):
@@ -241,21 +241,21 @@
 
 
 class StorageCorruptedError(StorageError):
-    """The storage holds something that was not written so; the disk, or who touched the file, is at fault."""
+    """The storage differs from what was written, by a fault of the disk or a change from outside."""
 
     def __init__(self, problem: str) -> None:
         super().__init__(f"the storage is corrupted: {problem}")
 
 
 class StorageWriteError(StorageError, ProcessFatalError):
-    """The storage could not be written, so what was not answered yet must never be."""
+    """The storage could not be written. The replica must not send any answer that it has not sent yet."""
 
     def __init__(self, cause: str) -> None:
         super().__init__(f"the storage cannot be written: {cause}")
 
 
 class StorageFailedBeforeError(StorageWriteError):
-    """An earlier write failed, so nothing may be answered any more."""
+    """An earlier write failed, so the replica may not answer any more."""
 
     def __init__(self) -> None:
         super().__init__("an earlier write failed")
@@ -269,19 +269,19 @@
 
 
 class CorruptedRowError(StorageCorruptedError):
-    """A row does not agree with its checksum.
+    """A row of the storage does not match its checksum.
 
     Attributes:
-        key: of the row.
+        key: Key of the row.
     """
 
     def __init__(self, key: object) -> None:
-        super().__init__(f"row {key!r} does not agree with its checksum")
+        super().__init__(f"row {key!r} does not match its checksum")
         self.key = key
 
 
 class FileCheckError(StorageCorruptedError):
-    """SQLite's own check of the file failed."""
+    """SQLite's integrity check of the file failed."""
 
     def __init__(self) -> None:
-        super().__init__("SQLite's check of the file failed")
+        super().__init__("SQLite's integrity check of the file failed")
--- a/gullmount/consensus/group_client.py
+++ b/gullmount/consensus/group_client.py
@@ -1,4 +1,4 @@
-"""The operator's view of the replica group."""
+"""Client with which an operator shows and changes the replica group."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from gullmount.net import StreamNet
 from gullmount.rpc import CallError, ConnectError, InvalidMessageError, call, decode_as
 
-POLL_INTERVAL_SECONDS = 0.2  # while a change is under way
+# Interval at which the group is read while a change is under way.
+POLL_INTERVAL_SECONDS = 0.2
 STATUS_OK = 200
 STATUS_CONFLICT = 409
 STATUS_OUTCOME_UNKNOWN = 504
 
 
 class ReplicaGroupClient:
-    """Shows and changes the group.
+    """Reads and changes the replica group.
 
     Attributes:
-        addresses: of some replicas; who answered last is asked first.
-        answer_timeout_seconds: for one call.
+        addresses: Addresses of some replicas. The replica that answered last comes first and is called first.
+        answer_timeout_seconds: Timeout of one call.
     """
 
     def __init__(self, net: StreamNet, addresses: list[str], answer_timeout_seconds: float) -> None:
@@ -32,9 +33,12 @@
         self.answer_timeout_seconds = answer_timeout_seconds
 
     async def send(self, request: GroupRequest) -> ReplicaGroup:
-        """Ask one replica after the other.
+        """Send a request to one replica after the other until one answers it.
 
-        Raises NoReplicaError, GroupChangeRejectedError; OutcomeUnknownError where a change may have begun.
+        Raises:
+            NoReplicaError: No replica gave a usable answer.
+            GroupChangeRejectedError: A replica rejected the change.
+            OutcomeUnknownError: The change may have begun or not.
         """
         is_change = isinstance(request.revision, int)
         body = encode(request)
@@ -59,21 +63,29 @@
         raise NoReplicaError
 
     async def show(self) -> ReplicaGroup:
-        """Return the group; raise NoReplicaError."""
+        """Return the group.
+
+        Raises:
+            NoReplicaError: No replica gave a usable answer.
+        """
         return await self.send(GroupRequest())
 
     async def change(self, change_members: Callable[[Members], Members]) -> ReplicaGroup:
-        """Begin a change; `make` returns the new members for the present ones."""
+        """Begin a change of the group's members.
+
+        Args:
+            change_members: Returns the new members for the current ones.
+        """
         group = await self.show()
         members = tuple(sorted(change_members(group.current).items()))
         return await self.send(GroupRequest(revision=group.revision, members=members))
 
     async def undo(self) -> ReplicaGroup:
-        """Revert the change that is under way."""
+        """Revert the change that is under way, and return the group."""
         return await self.send(GroupRequest(revision=(await self.show()).revision, undo=True))
 
     async def wait_until_settled(self) -> ReplicaGroup:
-        """Return the group once no change is under way."""
+        """Poll the group until no change is under way, and return it."""
         while True:
             try:
                 group = await self.show()
--- a/gullmount/consensus/log_events.py
+++ b/gullmount/consensus/log_events.py
@@ -10,7 +10,7 @@
 
 
 class LogEvent(StrEnum):
-    """One event each; the name in the log stays stable."""
+    """Names of the log events. They are stable."""
 
     STORAGE_CORRUPTED = "storage_corrupted"
     STORAGE_LOADED = "storage_loaded"
@@ -23,4 +23,4 @@
 
 
 def no_log(event: str, **fields: Any) -> None:
-    """Log nothing."""
+    """Discard the event."""
--- a/gullmount/consensus/peers.py
+++ b/gullmount/consensus/peers.py
@@ -1,4 +1,4 @@
-"""Requests to the other replicas."""
+"""Client for the requests that a replica sends to the other replicas."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 
 class PeerClient:
-    """Requests over kept connections; a request that comes twice is answered twice alike."""
+    """Sends requests to other replicas over persistent connections.
+
+    A request may arrive twice: a replica answers both copies alike.
+    """
 
     def __init__(self, config: ReplicaConfig, net: StreamNet, acceptor: LocalAcceptor, log: Log) -> None:
         self.config = config
@@ -33,12 +36,15 @@
         self.pool = ConnectionPool(net)
 
     async def ask(self, replica: int, request: PeerRequest) -> PeerAnswer | None:
-        """Send a request to a member of the group; None where there is no usable answer."""
+        """Send a request to a member of the group and return the answer.
+
+        Returns None if the replica is no member or gives no usable answer.
+        """
         address = self.acceptor.state.group.addresses.get(replica)
         return None if address is None else await self.ask_at(address, request)
 
     async def ask_at(self, address: str, request: PeerRequest | JoinMarkRequest) -> PeerAnswer | None:
-        """Send a request to an address; None where there is no usable answer."""
+        """Send a request to an address and return the answer, or None if there is no usable one."""
         identified_request = msgspec.structs.replace(
             request, sender=self.config.number, group_name=self.config.group
         )
@@ -61,5 +67,5 @@
             return None
 
     async def aclose(self) -> None:
-        """Close the kept connections."""
+        """Close the persistent connections."""
         await self.pool.aclose()
--- a/gullmount/consensus/recovery.py
+++ b/gullmount/consensus/recovery.py
@@ -1,12 +1,13 @@
-"""How a replica that starts comes to a state in which nothing is missing. No I/O, clock or randomness.
-
-A start asks the others for its next incarnation. It takes part once enough of them have written the
-incarnation down and sent their whole state, which is merged in: the higher promise, the later accepted value.
-Those others (`ReplicaGroup.meets_every_majority`) meet every majority that ever counted this replica, so
-nothing that it promised or accepted is missing afterwards. What others answered before they wrote the
-incarnation down is in the merged state; what they answer later takes the former incarnation's answers out of
-the count. A storage that is lost while another's is also incomplete is one loss more than three replicas
-bear.
+"""Recovers the complete state of a replica that starts. No I/O, clock or randomness.
+
+- The replica requests its next incarnation from the other replicas.
+- It is admitted once enough of them have stored the incarnation and sent their complete state. The states are
+  merged: the higher promise and the later accepted value are kept.
+- Enough are those that intersect every majority that ever counted this replica
+  (`ReplicaGroup.meets_every_majority`). So nothing that it promised or accepted is missing afterwards.
+- Whatever another replica answered before it stored the incarnation is contained in the merged state. Its
+  later answers exclude the answers of the former incarnation from the count.
+- Three replicas do not tolerate that one loses its storage while the storage of another is also incomplete.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 
 @dataclass(frozen=True)
 class ReceivedState:
-    """The state that one replica sent.
+    """The state that another replica sent.
 
     Attributes:
-        requested_incarnation: the newest one that it ever asked for itself.
-        registers: by name.
+        requested_incarnation: Newest incarnation that the replica ever requested for itself.
+        registers: States of the registers by name.
     """
 
     requested_incarnation: int
@@ -32,7 +33,12 @@
 
 
 class Recovery:
-    """A start under way; it lives until the replica is admitted."""
+    """The recovery of one start, used until the replica is admitted.
+
+    Attributes:
+        state: State of the replica that starts.
+        received: States that other replicas sent for the requested incarnation, by replica number.
+    """
 
     def __init__(self, state: AcceptorState) -> None:
         self.state = state
@@ -40,15 +46,23 @@
         self.request_incarnation(max(state.incarnation, state.requested_incarnation) + 1)
 
     def request_incarnation(self, incarnation: int) -> None:
-        """Begin to ask for an incarnation; the state is to be stored before others are asked."""
+        """Begin to request an incarnation, and discard the states received for an earlier one.
+
+        The caller stores the state before it asks the other replicas.
+        """
         self.state.requested_incarnation = incarnation
         self.state.note_replica()
         self.received = {}
 
     def receive(self, replica: int, answer: PeerAnswer) -> bool:
-        """Take an answer; return whether the replica is admitted now.
+        """Process the answer of another replica.
+
+        Returns:
+            Whether the replica is admitted now. Its state is complete then, and the caller stores it before
+            anything else.
 
-        Then its state is complete, and is to be stored before anything else. Raises InvalidMessageError.
+        Raises:
+            InvalidMessageError: The answer contains an invalid group or register.
         """
         state = self.state
         if isinstance(answer, JoinAnswer) and answer.group is not None:
@@ -62,7 +76,9 @@
             if own_incarnation >= state.requested_incarnation:
                 self.request_incarnation(own_incarnation + 1)
             return False
-        if answer.complete:  # else it is asked again, for a later incarnation: by then it may be admitted
+        # A replica with an incomplete state is asked again for a later incarnation.
+        # By then it may be admitted.
+        if answer.complete:
             registers = {message.register: register_from(message) for message in answer.registers}
             self.received[replica] = ReceivedState(answer.requested_incarnation, registers)
         self._drop_replicas_that_lost_their_state()
@@ -72,7 +88,11 @@
         return True
 
     def _drop_replicas_that_lost_their_state(self) -> None:
-        """Leave out who never asked for an incarnation that others know it by, whatever it says."""
+        """Drop the states of replicas that have lost their storage.
+
+        Such a replica reports a requested incarnation older than the one that others know of it, so its state
+        does not count even if it claims to be complete.
+        """
         known = self.state.known_incarnations
         self.received = {
             replica: state
--- a/gullmount/consensus/server.py
+++ b/gullmount/consensus/server.py
@@ -1,4 +1,4 @@
-"""Answers the requests that come to a replica: of other replicas, clients and operators."""
+"""Server of a replica: answers requests of other replicas, clients and operators."""
 
 from __future__ import annotations
 
@@ -36,27 +36,26 @@
 from gullmount.net import HandlerErrors, Stream, source_host
 from gullmount.rpc import InvalidMessageError, Request, Response, convert, decode_as, decode_message, serve
 
-MAX_REQUEST_BYTES = 65536  # a register's value and its frame
-MAX_VALUE_BYTES = 32768  # of a register, as JSON
+# Maximum length of a request body, which holds a register's value and the fields around it.
+MAX_REQUEST_BYTES = 65536
+# Maximum length of a register's value, encoded as JSON.
+MAX_VALUE_BYTES = 32768
 
 REGISTER_PATH = "/v1/register"
 GROUP_PATH = "/v1/group"
 WATCH_PATH = "/v1/watch"
 
 OK, BAD_REQUEST, NOT_FOUND, CONFLICT, UNAVAILABLE, OUTCOME_UNKNOWN = 200, 400, 404, 409, 503, 504
-KINDS_BEFORE_ADMISSION = (
-    "join",
-    "adopt",
-    "chosen",
-)  # requests of other replicas that are answered at any time
+# Kinds of requests of other replicas that are also answered before the replica is admitted.
+KINDS_BEFORE_ADMISSION = ("join", "adopt", "chosen")
 
 
 class RequestServer:
     """Routes each request to the part of the replica that answers it.
 
     Attributes:
-        invalid_requests: how many were dropped so far.
-        handler_errors: what went wrong unexpectedly while requests were answered.
+        invalid_requests: Number of invalid requests rejected so far.
+        handler_errors: Unexpected errors that occurred while requests were answered.
     """
 
     def __init__(
@@ -82,7 +81,7 @@
         await serve(stream, self.answer, MAX_REQUEST_BYTES, self.handler_errors)
 
     async def answer(self, request: Request, stream: Stream) -> Response:
-        """Answer one request; each error that a sender may meet has its status."""
+        """Answer one request. An expected error is answered with its own status and a message."""
         try:
             return await self._route(request, stream)
         except InvalidMessageError as error:
--- a/gullmount/consensus/storage.py
+++ b/gullmount/consensus/storage.py
@@ -1,4 +1,4 @@
-"""Where the state of a replica outlives the process: one small SQLite file, written through to the disk."""
+"""Stores the state of a replica in one small SQLite file, with synchronous writes to the disk."""
 
 from __future__ import annotations
 
@@ -19,47 +19,55 @@
     StorageWriteError,
 )
 
-CHECKSUM_BYTES = 16  # of a row: SQLite finds torn pages, not values that have rotted
+# Length of a row's checksum. SQLite detects torn pages, but not values that decayed on the disk.
+CHECKSUM_BYTES = 16
 FILE_NAME = "word.sqlite"
 TABLE = "word"
 
 
 class Storage(Protocol):
-    """Rows by key, each a JSON value."""
+    """Storage of a replica: rows by key, each a JSON value."""
 
     def load(self) -> dict[str, Any] | None:
-        """Return all rows; None where nothing was stored yet.
+        """Return all rows, or None if nothing was stored yet.
 
-        Raises StorageCorruptedError, and StorageWriteError where another process holds the storage.
+        Raises:
+            StorageCorruptedError: The stored rows are not those that were written.
+            StorageWriteError: Another process has the storage open.
         """
 
     def write(self, rows: dict[str, Any]) -> None:
-        """Put all of the rows or none on the disk before this returns; raise StorageWriteError."""
+        """Write all rows or none. They are on the disk when the call returns.
+
+        Raises:
+            StorageWriteError: The rows could not be written.
+        """
 
     async def save(self, rows: dict[str, Any]) -> None:
-        """Do the same while other tasks go on."""
+        """Do the same as `write` while other tasks go on."""
 
     def set_aside(self) -> object:
-        """Move what is corrupted out of the way; nothing is stored then."""
+        """Move the corrupted content out of the way. The storage is empty afterwards."""
 
     def close(self) -> None:
-        """Let go of the file."""
+        """Release the file."""
 
 
 def checksum(key: str, value: bytes) -> bytes:
-    """Return the checksum that stands beside a row."""
+    """Return the checksum that is stored with a row."""
     return blake2b(key.encode() + b"\0" + value, digest_size=CHECKSUM_BYTES).digest()
 
 
 class MemoryStorage:
-    """A disk in memory, which outlives the replica's tasks: for virtual time.
+    """Storage in memory for tests and runs on virtual time. It outlives the replica's tasks.
 
-    Rows are kept as they would be written, so what JSON does not tell apart is not told apart here.
+    Rows are kept as JSON text, as they would be written. Values that JSON does not distinguish are not
+    distinguished here either.
 
     Attributes:
-        rows: the JSON text by key.
-        full: whether nothing can be written.
-        torn: whether what is there is not what was written.
+        rows: JSON text by key.
+        full: Whether the emulated disk is full, so that every write fails.
+        torn: Whether the content is not what was written, so that every load fails.
     """
 
     def __init__(self) -> None:
@@ -68,23 +76,35 @@
         self.torn = False
 
     def load(self) -> dict[str, Any] | None:
-        """Return all rows; None where nothing was stored yet. Raise StorageCorruptedError if torn."""
+        """Return all rows, or None if nothing was stored yet.
+
+        Raises:
+            StorageCorruptedError: `torn` is set.
+        """
         if self.torn:
             raise StorageCorruptedError("torn")
         return {key: msgspec.json.decode(value) for key, value in self.rows.items()} or None
 
     def write(self, rows: dict[str, Any]) -> None:
-        """Store the rows; raise StorageWriteError if full."""
+        """Store the rows.
+
+        Raises:
+            DiskFullError: `full` is set.
+        """
         if self.full:
             raise DiskFullError
         self.rows |= {key: msgspec.json.encode(value) for key, value in rows.items()}
 
     def set_aside(self) -> None:
-        """Begin anew where the former rows are corrupted."""
+        """Discard the corrupted rows."""
         self.rows, self.torn = {}, False
 
     async def save(self, rows: dict[str, Any]) -> None:
-        """Store the rows; raise StorageWriteError if full."""
+        """Store the rows after other tasks had a chance to run.
+
+        Raises:
+            DiskFullError: `full` is set.
+        """
         await anyio.lowlevel.checkpoint()
         self.write(rows)
 
@@ -93,7 +113,11 @@
 
 
 class SqliteStorage:
-    """Full synchronous writes through a write-ahead log: a commit that returned is on the disk."""
+    """Storage in an SQLite file.
+
+    It uses a write-ahead log with full synchronous writes. A transaction is on the disk once its commit has
+    returned.
+    """
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -104,7 +128,7 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         db = sqlite3.connect(self.path, check_same_thread=False, isolation_level=None)
         try:
-            # Two processes on one file would be one replica twice.
+            # The lock is exclusive, since two processes on one file would act as the same replica twice.
             db.execute("PRAGMA locking_mode=EXCLUSIVE")
             db.execute("PRAGMA journal_mode=WAL")
             db.execute("PRAGMA synchronous=FULL")
@@ -118,9 +142,11 @@
         return db
 
     def load(self) -> dict[str, Any] | None:
-        """Return all rows; None where nothing was stored yet.
+        """Return all rows, or None if nothing was stored yet.
 
-        Raises StorageCorruptedError, and StorageWriteError where another process holds the file.
+        Raises:
+            StorageCorruptedError: The file is not readable, or a row does not match its checksum.
+            StorageWriteError: Another process has the file open.
         """
         if not self.path.exists():
             return None
@@ -146,7 +172,11 @@
             raise StorageCorruptedError(str(error)) from None
 
     def write(self, rows: dict[str, Any]) -> None:
-        """Put all of the rows or none on the disk before this returns; raise StorageWriteError."""
+        """Write all rows or none in one transaction. They are on the disk when the call returns.
+
+        Raises:
+            StorageWriteError: The rows could not be written.
+        """
         try:
             self.db = self.db or self._open()
             encoded = {key: msgspec.json.encode(value) for key, value in rows.items()}
@@ -160,11 +190,11 @@
             raise StorageWriteError(str(error)) from None
 
     async def save(self, rows: dict[str, Any]) -> None:
-        """Do the same in a thread, while other tasks go on."""
+        """Do the same as `write` in a thread, while other tasks go on."""
         await anyio.to_thread.run_sync(self.write, rows)
 
     def set_aside(self) -> Path:
-        """Move a corrupted file out of the way; return where it is now."""
+        """Rename the corrupted file, and return its new path."""
         self.close()
         damaged_path = self.path.with_suffix(".damaged")
         for suffix in ("-wal", "-shm"):
