--- a/tests/consensus/test_client.py
+++ b/tests/consensus/test_client.py
@@ -1,4 +1,4 @@
-"""Clients of registers while replicas come and go."""
+"""Tests of register clients while replicas start, die, join and leave."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def test_a_client_follows_the_new_group_and_a_replica_that_left_tells_nothing() -> None:
-    """Guards against a watch at a replica that left, or is cut off: it must end, not be silent for ever."""
+    """A watch at a replica that has left, or is cut off, must end instead of staying silent for ever."""
 
     async def scene(group: ReplicaScene) -> None:
         seen: list[Any] = []
--- a/tests/consensus/test_config.py
+++ b/tests/consensus/test_config.py
@@ -1,4 +1,4 @@
-"""The replica's YAML file."""
+"""Tests of the replica's YAML file."""
 
 from __future__ import annotations
 
--- a/tests/consensus/test_group_changes.py
+++ b/tests/consensus/test_group_changes.py
@@ -1,4 +1,4 @@
-"""The group changes: one joins, leaves or takes another's place, while replicas die."""
+"""Tests of group changes: replicas join, leave or replace another, while replicas are killed."""
 
 from __future__ import annotations
 
@@ -55,7 +55,8 @@
         await operator.change(lambda now: {**now, 6: "10.0.0.6:7299"})
         assert sorted((await operator.wait_until_settled()).current) == [2, 3, 4, 5, 6]
         await anyio.sleep(2)
-        group.kill(2, 3)  # what five bear
+        # Five replicas tolerate the loss of two.
+        group.kill(2, 3)
         client.addresses = [f"10.0.0.{one}:7299" for one in (4, 5, 6)]
         assert await client.change("job", 2, "c") == (True, RegisterValue(3, "c"))
 
@@ -94,7 +95,8 @@
         store = group.storages[4] = MemoryStorage()
         group.begin(4)
         await anyio.sleep(1)
-        group.kill(3)  # of the new set one is left beside the one that dies now
+        # Of the new set, replica 2 remains, and replica 4 until it is killed below.
+        group.kill(3)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(operator.change, lambda now: FOUR_FOR_ONE)
             while not store.rows.get("group"):
@@ -114,7 +116,10 @@
 def test_change_under_way_is_reverted_by_undo() -> None:
     async def scene(group: ReplicaScene) -> None:
         class DriverKillingStorage(MemoryStorage):
-            """Of who joins: who drives the change dies as soon as it is told; others take over later."""
+            """Storage of the joining replica. It kills replica 1 as soon as it has stored the new group.
+
+            Replica 1 drives the change; other replicas take over later.
+            """
 
             async def save(self, rows: dict[str, Any]) -> None:
                 await super().save(rows)
@@ -149,7 +154,11 @@
 def test_change_completes_after_a_replica_is_killed_at_any_write(
     killed_replica: int, before_write: bool
 ) -> None:
-    """Who drives the change, which leaves by it, and one that stays; then its disk as it is, or blank."""
+    """Kills a replica at each write of a change, before or after the write reaches the disk.
+
+    Replica 1 drives the change and leaves by it; replica 2 stays. The killed replica is restarted later with
+    its disk as it is, or with a blank one.
+    """
 
     async def scene(group: ReplicaScene, write_number: int, blank: bool) -> tuple[list[dict[str, Any]], int]:
         record, client, operator = Record(), group.client(), group_client(group)
@@ -182,7 +191,8 @@
             group.storages[killed_replica].rows = rows
         group.begin(killed_replica)
         await anyio.sleep(1)
-        with anyio.fail_after(20):  # another finishes it, without the operator
+        # Another replica completes the change without the operator.
+        with anyio.fail_after(20):
             now = (await operator.wait_until_settled()).current
         assert now in (MEMBERS, FOUR_FOR_ONE)
         client.addresses = list(now.values())
@@ -201,7 +211,7 @@
             )
             assert check_history(events).breaches == [], (write_number, blank)
             finished += left <= 0
-    assert finished > 12, "hardly any death came in the middle"
+    assert finished > 12, "too few replicas were killed during the change"
 
 
 def test_group_command_replaces_a_replica_of_a_process_group(tmp_path: Path) -> None:
--- a/tests/consensus/test_recovery.py
+++ b/tests/consensus/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a replica needs to hear before it takes part."""
+"""Tests of the answers that a replica needs before it takes part."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     blank_state.bootstrap()
     remembering_state = AcceptorState(3, THREE)
     remembering_state.bootstrap()
-    # Replica 2 once asked for its fourth incarnation, and now says that it never did.
+    # Replica 2 once requested its fourth incarnation. Its blank state no longer contains that request.
     remembering_state.answer_join(2, 4)
     assert answers_to_recover(3) == 2 and state.incarnation == 0
     assert not recovery.receive(2, blank_state.answer_join(1, recovery.state.requested_incarnation))
--- a/tests/consensus/test_server.py
+++ b/tests/consensus/test_server.py
@@ -1,4 +1,4 @@
-"""Requests that a replica must not follow."""
+"""Tests of requests that a replica must reject."""
 
 from __future__ import annotations
 
@@ -36,7 +36,8 @@
         b'{"v":1,"from":2,"group":"g","do":"prepare","register":"","ballot":[1,2,0]}',
         b'{"v":1,"from":2,"group":"other","do":"join","life":3}',
         b'{"v":1,"from":7,"group":"g","do":"join","life":3}',
-        b'{"v":1,"from":3,"group":"g","do":"join","life":3}',  # not from that replica's address
+        # Sent from another address than replica 3 has.
+        b'{"v":1,"from":3,"group":"g","do":"join","life":3}',
         b'{"v":1,"from":2,"group":"g","do":"forget"}',
         b"[" * 70000,
     ],
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -1,4 +1,4 @@
-"""The replica's file."""
+"""Tests of the replica's storage file."""
 
 from __future__ import annotations
 
@@ -31,7 +31,8 @@
     sqlite_storage.write({"self": {"number": 1}, "slot/a": [1]})
     sqlite_storage.write({"slot/a": [2]})
     with pytest.raises(StorageWriteError):
-        SqliteStorage(tmp_path / "disk").load()  # a second process on one disk
+        # Stands for a second process on the same file.
+        SqliteStorage(tmp_path / "disk").load()
     sqlite_storage.close()
     reopened = SqliteStorage(tmp_path / "disk")
     assert reopened.load() == {"self": {"number": 1}, "slot/a": [2]}
@@ -48,7 +49,7 @@
         reopened.load()
 
 
-# What version 883dea8 stored
+# Storage files that version 883dea8 wrote, and their expected content.
 
 STORED_FOLDER = DATA / "replicas_883dea8"
 EXPECTED_READ: dict[str, Any] = json.loads((STORED_FOLDER / "as_read.json").read_text())
