--- a/tests/consensus/test_group_changes.py
+++ b/tests/consensus/test_group_changes.py
@@ -151,7 +151,7 @@
 
 @pytest.mark.parametrize("before_write", [True, False])
 @pytest.mark.parametrize("killed_replica", [1, 2])
-def test_change_completes_after_a_replica_is_killed_at_any_write(
+def test_group_settles_with_consistent_registers_after_a_kill_at_any_write(
     killed_replica: int, before_write: bool
 ) -> None:
     """Kills a replica at each write of a change, before or after the write reaches the disk.
