--- a/gullmount/consensus/peers.py
+++ b/gullmount/consensus/peers.py
@@ -1,4 +1,4 @@
-"""Requests to the other replicas."""
+"""Client for the requests that a replica sends to the other replicas."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 
 class PeerClient:
-    """Requests over kept connections; a request that comes twice is answered twice alike."""
+    """Sends requests to other replicas over persistent connections.
+
+    A request may arrive twice: a replica answers both copies alike.
+    """
 
     def __init__(self, config: ReplicaConfig, net: StreamNet, acceptor: LocalAcceptor, log: Log) -> None:
         self.config = config
@@ -33,31 +36,36 @@
         self.pool = ConnectionPool(net)
 
     async def ask(self, replica: int, request: PeerRequest) -> PeerAnswer | None:
-        """Send a request to a member of the group; None where there is no usable answer."""
+        """Send a request to a member of the group and return the answer.
+
+        Returns None if the replica is no member or gives no usable answer.
+        """
         address = self.acceptor.state.group.addresses.get(replica)
         return None if address is None else await self.ask_at(address, request)
 
     async def ask_at(self, address: str, request: PeerRequest | JoinMarkRequest) -> PeerAnswer | None:
-        """Send a request to an address; None where there is no usable answer."""
-        named = msgspec.structs.replace(request, sender=self.config.number, group_name=self.config.group)
+        """Send a request to an address and return the answer, or None if there is no usable one."""
+        identified_request = msgspec.structs.replace(
+            request, sender=self.config.number, group_name=self.config.group
+        )
         try:
             with anyio.fail_after(self.config.call_within):
-                answer = await self.pool.call(address, "POST", PEER_PATH, encode(named))
-            if answer.status != STATUS_OK:
+                response = await self.pool.call(address, "POST", PEER_PATH, encode(identified_request))
+            if response.status != STATUS_OK:
                 return None
-            message = decode_message(answer.body)
+            message = decode_message(response.body)
         except (CallError, InvalidMessageError, TimeoutError):
             return None
-        kind = ANSWERS.get(type(request))
-        if kind is None:
+        answer_type = ANSWERS.get(type(request))
+        if answer_type is None:
             return None
         try:
             head = convert(message, PeerAnswer)
-            return convert(message, kind if head.ok else RejectedAnswer)
+            return convert(message, answer_type if head.ok else RejectedAnswer)
         except InvalidMessageError as error:
             self.log(LogEvent.PEER_ANSWER_INVALID, address=address, reason=str(error))
             return None
 
     async def aclose(self) -> None:
-        """Close the kept connections."""
+        """Close the persistent connections."""
         await self.pool.aclose()
--- a/tests/consensus/test_client.py
+++ b/tests/consensus/test_client.py
@@ -1,4 +1,4 @@
-"""Clients of registers while replicas come and go."""
+"""Tests of register clients while replicas start, die, join and leave."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
         client, seen = group.client(), []
 
         async def watch() -> None:
-            async for told in client.watch("job"):
-                seen.append(told)
+            async for update in client.watch("job"):
+                seen.append(update)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(watch)
@@ -37,13 +37,13 @@
         return seen
 
     seen = play_replicas(scene)
-    assert seen[-1] == RegisterValue(4, 3) and [told.version for told in seen] == sorted(
-        {told.version for told in seen}
+    assert seen[-1] == RegisterValue(4, 3) and [update.version for update in seen] == sorted(
+        {update.version for update in seen}
     )
 
 
 def test_a_client_follows_the_new_group_and_a_replica_that_left_tells_nothing() -> None:
-    """Guards against a watch at a replica that left, or is cut off: it must end, not be silent for ever."""
+    """A watch at a replica that has left, or is cut off, must end instead of staying silent for ever."""
 
     async def scene(group: ReplicaScene) -> None:
         seen: list[Any] = []
@@ -51,8 +51,8 @@
         client.preferred["job"] = MEMBERS[1]
 
         async def watch() -> None:
-            async for told in client.watch("job"):
-                seen.append(told.value)
+            async for update in client.watch("job"):
+                seen.append(update.value)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(watch)
