--- a/gullmount/consensus/errors.py
+++ b/gullmount/consensus/errors.py
@@ -25,7 +25,7 @@
     """A replica's queue of proposals for one register is full; nothing was changed."""
 
     def __init__(self) -> None:
-        super().__init__("too many proposals for the register are waiting")
+        super().__init__("too many wait")
 
 
 class MajorityTimeoutError(NoMajorityError):
@@ -100,28 +100,28 @@
     """The group would be too small to tolerate the loss of a replica, or too large."""
 
     def __init__(self, count: int, min_count: int, max_count: int) -> None:
-        super().__init__(f"{count} replicas cannot be a group; {min_count} to {max_count} are a group")
+        super().__init__(f"{count} replicas; {min_count} to {max_count} are a group")
 
 
 class GroupUnchangedError(GroupChangeError):
     """The requested members are the current ones."""
 
     def __init__(self) -> None:
-        super().__init__("the requested members are the members now")
+        super().__init__("these are the members now")
 
 
 class TooManyChangesError(GroupChangeError):
     """The change would add or remove more than one replica at a time."""
 
     def __init__(self) -> None:
-        super().__init__("only one replica at a time can join, leave or replace another")
+        super().__init__("one replica at a time joins, leaves or takes another's place")
 
 
 class ReplicaNumberReusedError(GroupChangeError):
     """The replica that is to join has a number that a member had before."""
 
     def __init__(self, number: int, highest: int) -> None:
-        super().__init__(f"replica {number} has no new number: {highest} is the highest one used so far")
+        super().__init__(f"replica {number} is no new number: {highest} was the highest so far")
 
 
 class DuplicateAddressError(GroupChangeError):
@@ -135,56 +135,56 @@
     """The replica that is to join does not answer, or it is not new."""
 
     def __init__(self, number: int, address: str) -> None:
-        super().__init__(f"replica {number} does not answer at {address}, or it is not new")
+        super().__init__(f"replica {number} does not answer at {address}, or is not new")
 
 
 class StaleRevisionError(GroupChangeError):
     """The change was requested for another revision of the group than the current one."""
 
     def __init__(self, revision: int) -> None:
-        super().__init__(f"the group's current revision is {revision}")
+        super().__init__(f"the group's revision is {revision}")
 
 
 class ConcurrentChangeError(GroupChangeError):
     """Another change of the group was chosen first."""
 
     def __init__(self, revision: int) -> None:
-        super().__init__(f"another change was made first: the group is at revision {revision}")
+        super().__init__(f"another change came first, revision {revision}")
 
 
 class ChangeRevertedError(GroupChangeError):
     """The change that the operator waited for was reverted, or another one followed."""
 
     def __init__(self) -> None:
-        super().__init__("the change was reverted, or another one followed")
+        super().__init__("it was undone, or another change came")
 
 
 class ForeignMessageError(InvalidMessageError):
     """A message between replicas names another group, or a sender that is not in this one."""
 
     def __init__(self) -> None:
-        super().__init__("the sender is not in this group")
+        super().__init__("not of this group")
 
 
 class SourceAddressError(InvalidMessageError):
     """A message comes from another host than the replica that it names as its sender."""
 
     def __init__(self) -> None:
-        super().__init__("the message does not come from its sender's address")
+        super().__init__("not from that replica's address")
 
 
 class UnknownRequestError(InvalidMessageError):
     """A replica sent a request of an unknown kind."""
 
     def __init__(self, kind: str) -> None:
-        super().__init__(f"unknown kind of request between replicas: {kind[:40]!r}")
+        super().__init__(f"no request between replicas is named {kind[:40]!r}")
 
 
 class RegisterLimitError(InvalidMessageError):
     """A client named a new register, but the replica already has the maximum number of registers."""
 
     def __init__(self, max_registers: int) -> None:
-        super().__init__(f"the replica cannot store more than {max_registers} registers")
+        super().__init__(f"more than {max_registers} registers")
 
 
 class RegisterNameError(InvalidMessageError):
@@ -198,7 +198,7 @@
     """A client tried to write the register of the group, which is changed by a separate request."""
 
     def __init__(self) -> None:
-        super().__init__("the register of the group is changed by a group request only")
+        super().__init__("the group is changed by a call of its own")
 
 
 class ValueTooLongError(InvalidMessageError):
@@ -212,7 +212,7 @@
     """A message or a register contains an invalid replica group."""
 
     def __init__(self, problem: str) -> None:
-        super().__init__(f"invalid replica group: {problem}")
+        super().__init__(f"not a replica group: {problem}")
 
 
 class TooManyMembersError(InvalidGroupError):
@@ -233,7 +233,7 @@
     """The storage belongs to another replica: the file was moved, or the configuration is wrong."""
 
     def __init__(self, number: int) -> None:
-        super().__init__(f"the storage belongs to replica {number}")
+        super().__init__(f"the storage is that of replica {number}")
 
 
 class StorageError(ConsensusError):
@@ -276,7 +276,7 @@
     """
 
     def __init__(self, key: object) -> None:
-        super().__init__(f"row {key!r} does not match its checksum")
+        super().__init__(f"row {key!r} does not agree with its checksum")
         self.key = key
 
 
@@ -284,4 +284,4 @@
     """SQLite's integrity check of the file failed."""
 
     def __init__(self) -> None:
-        super().__init__("SQLite's integrity check of the file failed")
+        super().__init__("SQLite's check of the file failed")
--- a/gullmount/proxy/errors.py
+++ b/gullmount/proxy/errors.py
@@ -77,7 +77,7 @@
     """A peer sent a datagram that is longer than allowed."""
 
     def __init__(self) -> None:
-        super().__init__("the datagram is too long")
+        super().__init__("too long")
 
 
 class PeerAddressError(InvalidMessageError):
