--- a/tests/consensus/test_client.py
+++ b/tests/consensus/test_client.py
@@ -10,14 +10,14 @@
 from tests.support.replicas import (
     FOUR_FOR_ONE,
     MEMBERS,
-    ReplicaScene,
+    ReplicaCluster,
     group_client,
-    play_replicas,
+    run_replica_cluster,
 )
 
 
 def test_watch_resumes_after_a_break_and_tells_the_last_value() -> None:
-    async def scene(group: ReplicaScene) -> list[RegisterValue]:
+    async def scene(group: ReplicaCluster) -> list[RegisterValue]:
         client, seen = group.client(), []
 
         async def watch() -> None:
@@ -31,12 +31,12 @@
                 group.kill(number)
                 await anyio.sleep(0.5)
                 assert (await group.client().change("job", version, version))[0]
-                group.begin(number)
+                group.start(number)
                 await anyio.sleep(3)
             tasks.cancel_scope.cancel()
         return seen
 
-    seen = play_replicas(scene)
+    seen = run_replica_cluster(scene)
     assert seen[-1] == RegisterValue(4, 3) and [told.version for told in seen] == sorted(
         {told.version for told in seen}
     )
@@ -45,7 +45,7 @@
 def test_a_client_follows_the_new_group_and_a_replica_that_left_tells_nothing() -> None:
     """Guards against a watch at a replica that left, or is cut off: it must end, not be silent for ever."""
 
-    async def scene(group: ReplicaScene) -> None:
+    async def scene(group: ReplicaCluster) -> None:
         seen: list[Any] = []
         client, writer = group.client(1), group.client(2)
         client.preferred["job"] = MEMBERS[1]
@@ -58,7 +58,7 @@
             tasks.start_soon(watch)
             tasks.start_soon(client.follow_group)
             await writer.change("job", 0, "a")
-            group.begin(4)
+            group.start(4)
             await group_client(group).change(lambda now: FOUR_FOR_ONE)
             await group_client(group).wait_until_settled()
             await anyio.sleep(3)
@@ -69,4 +69,4 @@
             tasks.cancel_scope.cancel()
         assert seen[-1] == "b"
 
-    play_replicas(scene)
+    run_replica_cluster(scene)
--- a/tests/consensus/test_group_changes.py
+++ b/tests/consensus/test_group_changes.py
@@ -28,29 +28,29 @@
     FOUR_FOR_ONE,
     MEMBERS,
     KillingStorage,
-    ReplicaScene,
+    ReplicaCluster,
     group_client,
-    play_replicas,
+    run_replica_cluster,
 )
 
 
 def test_a_replica_takes_anothers_place_and_the_group_grows_to_five() -> None:
-    async def scene(group: ReplicaScene) -> None:
+    async def scene(group: ReplicaCluster) -> None:
         client, operator = group.client(), group_client(group)
         await client.change("job", 0, "a")
-        group.begin(4, 5)
+        group.start(4, 5)
         await anyio.sleep(0.5)
         await operator.change(lambda now: FOUR_FOR_ONE)
         assert (await operator.wait_until_settled()).current == FOUR_FOR_ONE
         group.kill(1, 3)
         await anyio.sleep(0.5)
-        group.begin(3)
+        group.start(3)
         await anyio.sleep(2)
         client.addresses = list(FOUR_FOR_ONE.values())
         assert await client.change("job", 1, "b") == (True, RegisterValue(2, "b"))
         await operator.change(lambda now: {**now, 5: "10.0.0.5:7299"})
         await operator.wait_until_settled()
-        group.begin(6)
+        group.start(6)
         await anyio.sleep(1)
         await operator.change(lambda now: {**now, 6: "10.0.0.6:7299"})
         assert sorted((await operator.wait_until_settled()).current) == [2, 3, 4, 5, 6]
@@ -59,15 +59,15 @@
         client.addresses = [f"10.0.0.{one}:7299" for one in (4, 5, 6)]
         assert await client.change("job", 2, "c") == (True, RegisterValue(3, "c"))
 
-    play_replicas(scene)
+    run_replica_cluster(scene)
 
 
 def test_a_change_that_cannot_be_made_says_why_and_two_at_once_are_one() -> None:
-    async def scene(group: ReplicaScene) -> None:
+    async def scene(group: ReplicaCluster) -> None:
         one, other = group_client(group), group_client(group)
         with pytest.raises(GroupChangeRejectedError, match="replica 4 does not answer"):
             await one.change(lambda now: FOUR_FOR_ONE)
-        group.begin(4, 5)
+        group.start(4, 5)
         await anyio.sleep(1)
         ends: list[str] = []
 
@@ -85,14 +85,14 @@
         now = (await one.wait_until_settled()).current
         assert now in (FOUR_FOR_ONE, {**MEMBERS, 5: "10.0.0.5:7299"})
 
-    play_replicas(scene)
+    run_replica_cluster(scene)
 
 
 def test_a_change_without_a_majority_waits_and_is_completed_once_they_are_back() -> None:
-    async def scene(group: ReplicaScene) -> None:
+    async def scene(group: ReplicaCluster) -> None:
         operator = group_client(group)
         store = group.storages[4] = MemoryStorage()
-        group.begin(4)
+        group.start(4)
         await anyio.sleep(1)
         group.kill(3)  # of the new set one is left beside the one that dies now
         async with anyio.create_task_group() as tasks:
@@ -104,15 +104,15 @@
             await operator.undo()
         with pytest.raises(NoReplicaError):
             await group.client().change("job", 0, "a")
-        group.begin(3, 4)
+        group.start(3, 4)
         with anyio.fail_after(20):
             assert (await operator.wait_until_settled()).current == FOUR_FOR_ONE
 
-    play_replicas(scene)
+    run_replica_cluster(scene)
 
 
 def test_a_change_under_way_is_reverted() -> None:
-    async def scene(group: ReplicaScene) -> None:
+    async def scene(group: ReplicaCluster) -> None:
         class Deadly(MemoryStorage):
             """Of who joins: who drives the change dies as soon as it is told; others take over later."""
 
@@ -123,7 +123,7 @@
 
         operator = group_client(group)
         group.storages[4] = Deadly()
-        group.begin(4)
+        group.start(4)
         await anyio.sleep(1)
         with pytest.raises(GroupChangeRejectedError, match="no change is under way"):
             await operator.undo()
@@ -136,12 +136,12 @@
         assert (await operator.show()).next == FOUR_FOR_ONE
         assert (await operator.undo()).current == MEMBERS
         await anyio.sleep(10)
-        group.begin(1)
+        group.start(1)
         await anyio.sleep(3)
         assert (await operator.show()).current == MEMBERS
         assert await group.client().change("job", 0, "a") == (True, RegisterValue(1, "a"))
 
-    play_replicas(scene)
+    run_replica_cluster(scene)
 
 
 @pytest.mark.parametrize("before", [True, False])
@@ -149,7 +149,7 @@
 def test_a_replica_killed_at_each_write_of_a_change_leaves_it_complete(dies: int, before: bool) -> None:
     """Who drives the change, which leaves by it, and one that stays; then its disk as it is, or blank."""
 
-    async def scene(group: ReplicaScene, at: int, blank: bool) -> tuple[list[dict[str, Any]], int]:
+    async def scene(group: ReplicaCluster, at: int, blank: bool) -> tuple[list[dict[str, Any]], int]:
         record, client, operator = Record(), group.client(), group_client(group)
         operator.addresses = [MEMBERS[1], *operator.addresses]
 
@@ -158,14 +158,14 @@
             return await record_operation(client, record, "job", name, change)
 
         await ask("a", 0)
-        group.begin(4)
+        group.start(4)
         await anyio.sleep(0.5)
         rows = group.storages[dies].rows
         store = KillingStorage(rows, at + 2, before, lambda: group.kill(dies))
         group.kill(dies)
         await anyio.sleep(0.5)
         group.storages[dies] = store
-        group.begin(dies)
+        group.start(dies)
         await anyio.sleep(2)
         with anyio.move_on_after(5):
             try:
@@ -178,7 +178,7 @@
         group.storages[dies] = MemoryStorage()
         if not blank:
             group.storages[dies].rows = rows
-        group.begin(dies)
+        group.start(dies)
         await anyio.sleep(1)
         with anyio.fail_after(20):  # another finishes it, without the operator
             now = (await operator.wait_until_settled()).current
@@ -194,7 +194,7 @@
     finished = 0
     for at in range(1, 14):
         for blank in (True, False):
-            events, left = play_replicas(lambda group, at=at, blank=blank: scene(group, at, blank))
+            events, left = run_replica_cluster(lambda group, at=at, blank=blank: scene(group, at, blank))
             assert check_history(events).breaches == [], (at, blank)
             finished += left <= 0
     assert finished > 12, "hardly any death came in the middle"
--- a/tests/consensus/test_server.py
+++ b/tests/consensus/test_server.py
@@ -17,9 +17,9 @@
 from gullmount.rpc import call
 from tests.support.replicas import (
     MEMBERS,
-    ReplicaScene,
+    ReplicaCluster,
     group_client,
-    play_replicas,
+    run_replica_cluster,
 )
 
 
@@ -42,34 +42,36 @@
     ],
 )
 def test_invalid_messages_are_dropped_with_a_log_line_and_change_nothing(message: bytes) -> None:
-    async def scene(group: ReplicaScene) -> None:
+    async def scene(group: ReplicaCluster) -> None:
         before = dict(group.storages[1].rows)
         with anyio.move_on_after(2):
             try:
-                status, _ = await call(group.party("10.0.0.2"), MEMBERS[1], "POST", "/v1/keeper", message)
+                status, _ = await call(
+                    group.host_network("10.0.0.2"), MEMBERS[1], "POST", "/v1/keeper", message
+                )
                 assert status == 400
             except Exception:
                 assert len(message) > 65536
         assert group.storages[1].rows == before
         assert await group.client().change("job", 0, "a") == (True, RegisterValue(1, "a"))
 
-    play_replicas(scene)
+    run_replica_cluster(scene)
 
 
 def test_a_change_of_the_group_comes_only_by_its_own_call() -> None:
-    async def scene(group: ReplicaScene) -> None:
+    async def scene(group: ReplicaCluster) -> None:
         with pytest.raises((OutcomeUnknownError, NoReplicaError)):
             await group.client().change(GROUP, 0, {"now": [], "next": []})
         assert (await group_client(group).show()).current == MEMBERS
         assert LogEvent.REQUEST_INVALID in [event for _, event, _ in group.logs]
 
-    play_replicas(scene)
+    run_replica_cluster(scene)
 
 
 def test_a_watch_without_a_register_does_not_end_the_replica() -> None:
-    async def scene(group: ReplicaScene) -> None:
+    async def scene(group: ReplicaCluster) -> None:
         with anyio.move_on_after(2):
-            await call(group.party("10.0.0.2"), MEMBERS[1], "GET", "/v1/watch?register=")
+            await call(group.host_network("10.0.0.2"), MEMBERS[1], "GET", "/v1/watch?register=")
         assert await group.client().change("job", 0, "a") == (True, RegisterValue(1, "a"))
 
-    play_replicas(scene)
+    run_replica_cluster(scene)
--- a/tests/leases/test_assignment.py
+++ b/tests/leases/test_assignment.py
@@ -23,7 +23,7 @@
 from gullmount.leases.lease_manager import LeaseManager
 from gullmount.scenarios.virtual_time import run_in_virtual_time
 from tests.support.registers import InMemoryRegister, RegisterConnection
-from tests.support.replicas import MEMBERS, ReplicaScene, play_replicas
+from tests.support.replicas import MEMBERS, ReplicaCluster, run_replica_cluster
 
 TERM_SECONDS, MARGIN_SECONDS = 2.0, 0.3
 LEASE_NAMES = [f"job-{index}" for index in range(12)]
@@ -158,12 +158,12 @@
     """Guards against a thundering herd of claims at the replicas while a hundred instances wait."""
     holds: list[tuple[float, int, int]] = []
 
-    async def scene(group: ReplicaScene) -> None:
+    async def scene(group: ReplicaCluster) -> None:
         scopes = [anyio.CancelScope() for _ in range(100)]
 
         async def run_claimant(number: int) -> None:
             client = RegisterClient(
-                group.party(f"10.1.0.{number}"), list(MEMBERS.values()), Random(number), 1.0
+                group.host_network(f"10.1.0.{number}"), list(MEMBERS.values()), Random(number), 1.0
             )
             lease_arguments = {
                 "term_seconds": TERM_SECONDS,
@@ -194,7 +194,7 @@
                 assert holds[-1][1] != previous_holder and holds[-1][0] - stopped_at < 4
             tasks.cancel_scope.cancel()
 
-    play_replicas(scene)
+    run_replica_cluster(scene)
     assert [token for _, _, token in holds] == [1, 2, 3, 4]
 
 
--- a/tests/support/replicas.py
+++ b/tests/support/replicas.py
@@ -25,7 +25,7 @@
 FOUR_FOR_ONE = {number: address for number, address in WITH_FOUR.items() if number != 1}
 
 
-class ReplicaScene:
+class ReplicaCluster:
     """Three replicas in memory whose tasks can be killed; storages outlive them."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -36,10 +36,10 @@
         self.logs: list[tuple[int, str, dict[str, Any]]] = []
         self.incarnation = 0
 
-    def party(self, host: str) -> HostNetwork:
+    def host_network(self, host: str) -> HostNetwork:
         return HostNetwork(self.links, host, host, "a", self.tasks)
 
-    def begin(self, *numbers: int, bootstrap: bool = False) -> None:
+    def start(self, *numbers: int, bootstrap: bool = False) -> None:
         for number in numbers:
             self.scopes[number] = anyio.CancelScope()
             self.tasks.start_soon(self.live, number, bootstrap, self.scopes[number])
@@ -54,7 +54,7 @@
 
         with scope:
             random = Random(self.incarnation)
-            party = self.party(f"10.0.0.{number}")
+            party = self.host_network(f"10.0.0.{number}")
             storage = self.storages.setdefault(number, MemoryStorage())
             replica = Replica(config, net=party, storage=storage, random=random, log=log, bootstrap=bootstrap)
             await replica.run()
@@ -64,19 +64,19 @@
             self.scopes[number].cancel()
 
     def client(self, seed: int = 9) -> RegisterClient:
-        return RegisterClient(self.party("10.0.9.9"), list(MEMBERS.values()), Random(seed), 3.0)
+        return RegisterClient(self.host_network("10.0.9.9"), list(MEMBERS.values()), Random(seed), 3.0)
 
     def admitted(self, number: int) -> int:
         return sum(one == number and event == LogEvent.REPLICA_ADMITTED for one, event, _ in self.logs)
 
 
-def play_replicas(script: Callable[[ReplicaScene], Awaitable[Any]], seed: int = 1) -> Any:
+def run_replica_cluster(script: Callable[[ReplicaCluster], Awaitable[Any]], seed: int = 1) -> Any:
     """Play a script on a new group of three replicas in virtual time; return what it returns."""
 
     async def play() -> Any:
         async with anyio.create_task_group() as tasks:
-            scene = ReplicaScene(tasks)
-            scene.begin(*MEMBERS, bootstrap=True)
+            scene = ReplicaCluster(tasks)
+            scene.start(*MEMBERS, bootstrap=True)
             await anyio.sleep(2)
             out = await script(scene)
             tasks.cancel_scope.cancel()
@@ -85,9 +85,9 @@
     return run_in_virtual_time(play, seed)
 
 
-def group_client(scene: ReplicaScene) -> ReplicaGroupClient:
+def group_client(scene: ReplicaCluster) -> ReplicaGroupClient:
     """An operator, who knows all four addresses."""
-    return ReplicaGroupClient(scene.party("10.0.9.8"), list(WITH_FOUR.values()), 3.0)
+    return ReplicaGroupClient(scene.host_network("10.0.9.8"), list(WITH_FOUR.values()), 3.0)
 
 
 class KillingStorage(MemoryStorage):
