--- a/gullmount/consensus/acceptor.py
+++ b/gullmount/consensus/acceptor.py
@@ -142,7 +142,7 @@
                 self.known_incarnations[int(name)] = convert(value, int)
             elif kind == "group":
                 group = group_from(convert(value, GroupMessage))
-                self.group = max(self.group, group, key=lambda one: one.revision)
+                self.group = max(self.group, group, key=lambda known: known.revision)
 
     def bootstrap(self) -> None:
         """Begin as a new replica, which has promised nothing."""
@@ -267,10 +267,14 @@
 
     def merge(self, registers: dict[str, RegisterState]) -> None:
         """Take in another replica's registers: nothing that either had answered is taken back."""
-        for register, theirs in sorted(registers.items()):
-            mine = self.register_state(register)
-            mine.promised = max(mine.promised, theirs.promised)
-            if theirs.accepted > mine.accepted:
-                mine.accepted, mine.version, mine.value = theirs.accepted, theirs.version, theirs.value
-                mine.learned = True
+        for register, received in sorted(registers.items()):
+            own_register = self.register_state(register)
+            own_register.promised = max(own_register.promised, received.promised)
+            if received.accepted > own_register.accepted:
+                own_register.accepted, own_register.version, own_register.value = (
+                    received.accepted,
+                    received.version,
+                    received.value,
+                )
+                own_register.learned = True
             self.note_register(register)
--- a/gullmount/consensus/ballot_round.py
+++ b/gullmount/consensus/ballot_round.py
@@ -129,9 +129,9 @@
 
         Raises InvalidMessageError where the answer carries no proper group.
         """
-        for other, incarnation in answer.known_incarnations:
-            reported = self.reported_incarnations.get(other, 0)
-            self.reported_incarnations[other] = max(reported, incarnation)
+        for reported_replica, incarnation in answer.known_incarnations:
+            reported = self.reported_incarnations.get(reported_replica, 0)
+            self.reported_incarnations[reported_replica] = max(reported, incarnation)
         if phase is not self.phase:
             return False
         if isinstance(answer, RejectedAnswer):
@@ -162,7 +162,7 @@
         self._enter(Phase.SUPERSEDED)
         return True
 
-    def _countable(self, incarnations: Iterable[tuple[int, int]]) -> list[int]:
+    def _replicas_to_count(self, incarnations: Iterable[tuple[int, int]]) -> list[int]:
         """Return the replicas whose answer is of the newest incarnation known of them."""
         return [
             replica
@@ -172,18 +172,18 @@
         ]
 
     def _count_promises(self) -> bool:
-        promised_in = [(replica, promise.incarnation) for replica, promise in self.promises.items()]
-        counted = self._countable(promised_in)
+        promise_incarnations = [(replica, promise.incarnation) for replica, promise in self.promises.items()]
+        counted = self._replicas_to_count(promise_incarnations)
         if not self.group.has_majority(counted):
             return False
         registers = {replica: self.promises[replica].register for replica in counted}
         self.current = max(registers.values(), key=lambda register: register.accepted)
         self.includes_change = self.change.expected_version == self.current.version
-        self.result = self._changed() if self.includes_change else self.current
+        self.result = self._changed_register() if self.includes_change else self.current
         self._enter(Phase.CHOSEN if self._is_chosen_already(registers) else Phase.ACCEPT)
         return True
 
-    def _changed(self) -> RegisterState:
+    def _changed_register(self) -> RegisterState:
         return RegisterState(self.ballot, self.ballot, self.current.version + 1, self.change.value)
 
     def _is_chosen_already(self, registers: dict[int, RegisterState]) -> bool:
@@ -202,7 +202,7 @@
         return self.group.has_majority(accepted_by)
 
     def _count_accepts(self) -> bool:
-        if not self.group.has_majority(self._countable(self.accepts.items())):
+        if not self.group.has_majority(self._replicas_to_count(self.accepts.items())):
             return False
         self._enter(Phase.CHOSEN)
         return True
@@ -239,21 +239,21 @@
     @property
     def may_be_accepted(self) -> bool:
         """Whether a replica may have accepted the change, also in a round that is broken off just now."""
-        return any(one.includes_change for one in self.rounds)
+        return any(earlier_round.includes_change for earlier_round in self.rounds)
 
     def start_round(
         self, ballot: Ballot, group: ReplicaGroup, known_incarnations: dict[int, int]
     ) -> BallotRound:
         """Return the next round; earlier ones that never came to write the change are forgotten."""
-        self.rounds = [one for one in self.rounds if one.includes_change][:1]
+        self.rounds = [earlier_round for earlier_round in self.rounds if earlier_round.includes_change][:1]
         self.rounds.append(BallotRound(self.change, ballot, group, known_incarnations))
         return self.rounds[-1]
 
-    def outcome(self, last: BallotRound) -> ProposalOutcome | None:
+    def outcome(self, last_round: BallotRound) -> ProposalOutcome | None:
         """Return how the proposal ended by its last round; None where another round is needed."""
-        if last.phase is not Phase.CHOSEN:
+        if last_round.phase is not Phase.CHOSEN:
             return None
-        register = last.result
+        register = last_round.result
         changed = register.value is not None and register.value.mark == self.mark
         # Another's change stands over the version that ours may have made, or stands in its place.
         overwritten = register.version > (self.change.expected_version or 0) + 1
--- a/gullmount/consensus/chosen_values.py
+++ b/gullmount/consensus/chosen_values.py
@@ -16,7 +16,9 @@
 from gullmount.consensus.peers import PeerClient
 
 HEARTBEAT_INTERVAL_SECONDS = 5.0  # between lines of a watch on which nothing changes
-REFRESH_SECONDS = 2.0  # without an update, after which a watched register is read: a notice may be lost
+REFRESH_INTERVAL_SECONDS = (
+    2.0  # without an update, after which a watched register is read: a notice may be lost
+)
 MIN_WAIT_SECONDS = 0.01
 
 
@@ -27,8 +29,8 @@
     value: Any
 
 
-NEVER_SET = ChosenValue(0, None)
-NOT_KNOWN = ChosenValue(-1, None)
+UNSET_VALUE = ChosenValue(0, None)
+UNKNOWN_VALUE = ChosenValue(-1, None)
 
 
 class ChosenValues:
@@ -55,7 +57,7 @@
         if register == GROUP and version > 0:
             await self.acceptor.adopt(group_from_register(version, value))
         self._refreshed_at[register] = anyio.current_time()
-        if version <= self._known.get(register, NEVER_SET).version:
+        if version <= self._known.get(register, UNSET_VALUE).version:
             return False
         self._known[register] = ChosenValue(version, value)
         self._changed.set()
@@ -82,8 +84,8 @@
         The last change is never missed. `read` reads the register by a majority; the watch ends where that
         fails, as another replica may know more.
         """
-        version = NOT_KNOWN.version
-        sent_at = anyio.current_time()
+        version = UNKNOWN_VALUE.version
+        line_sent_at = anyio.current_time()
         while True:
             if anyio.current_time() >= self._refresh_due(register):
                 # One read serves all watches of the register; one that fails is made up for by the next.
@@ -92,19 +94,19 @@
                     await read(register)
                 except (NoMajorityError, OutcomeUnknownError):
                     return
-                self._known.setdefault(register, NEVER_SET)
-            chosen = self._known.get(register, NOT_KNOWN)
+                self._known.setdefault(register, UNSET_VALUE)
+            chosen = self._known.get(register, UNKNOWN_VALUE)
             if chosen.version > version:
-                version, sent_at = chosen.version, anyio.current_time()
+                version, line_sent_at = chosen.version, anyio.current_time()
                 yield encode_line(RegisterLine(register=register, version=version, value=chosen.value))
                 continue
-            if anyio.current_time() - sent_at >= HEARTBEAT_INTERVAL_SECONDS:
-                sent_at = anyio.current_time()
+            if anyio.current_time() - line_sent_at >= HEARTBEAT_INTERVAL_SECONDS:
+                line_sent_at = anyio.current_time()
                 yield encode_line(HeartbeatLine())
             changed = self._changed
-            wait = self._refresh_due(register) - anyio.current_time()
-            with anyio.move_on_after(max(MIN_WAIT_SECONDS, wait)):
+            refresh_in = self._refresh_due(register) - anyio.current_time()
+            with anyio.move_on_after(max(MIN_WAIT_SECONDS, refresh_in)):
                 await changed.wait()
 
     def _refresh_due(self, register: str) -> float:
-        return self._refreshed_at.get(register, -REFRESH_SECONDS) + REFRESH_SECONDS
+        return self._refreshed_at.get(register, -REFRESH_INTERVAL_SECONDS) + REFRESH_INTERVAL_SECONDS
--- a/gullmount/consensus/group_changes.py
+++ b/gullmount/consensus/group_changes.py
@@ -26,8 +26,8 @@
 from gullmount.consensus.proposer import Proposer
 from gullmount.rpc.errors import InvalidFieldError
 
-TAKE_OVER_SECONDS = 3.0  # before others than who began a change complete it, up to twice that by chance
-RETRY_SECONDS = 0.5  # before completing is tried again, up to twice that by chance
+TAKEOVER_DELAY_SECONDS = 3.0  # before others than who began a change complete it, up to twice that by chance
+RETRY_DELAY_SECONDS = 0.5  # before completing is tried again, up to twice that by chance
 
 
 class GroupChanges:
@@ -68,8 +68,8 @@
         if request.undo is True or not isinstance(request.members, tuple):
             return group.reverted()
         members = members_from(request.members)
-        joining = group.joining_member(members)
-        join_mark = "" if joining is None else await self._join_mark(joining, members)
+        joining_number = group.joining_member(members)
+        join_mark = "" if joining_number is None else await self._join_mark(joining_number, members)
         return group.changed(members, join_mark)
 
     async def _join_mark(self, number: int, members: Members) -> str:
@@ -97,18 +97,18 @@
                 await group_changed.wait()
                 continue
             if self.begun_revision != group.revision:
-                with anyio.move_on_after(TAKE_OVER_SECONDS * (1 + self.random.random())):
+                with anyio.move_on_after(TAKEOVER_DELAY_SECONDS * (1 + self.random.random())):
                     await group_changed.wait()
                     continue
             if not await self._complete(group):
-                await anyio.sleep(RETRY_SECONDS * (1 + self.random.random()))
+                await anyio.sleep(RETRY_DELAY_SECONDS * (1 + self.random.random()))
 
     async def _complete(self, group: ReplicaGroup) -> bool:
         """Return whether the change is over."""
         transition = GroupTransition(group)
         async with anyio.create_task_group() as tasks:
             for replica in sorted(group.addresses):
-                tasks.start_soon(self._tell, transition, replica)
+                tasks.start_soon(self._send_group, transition, replica)
         registers = transition.registers_to_rewrite()
         if registers is None:
             return False
@@ -121,14 +121,14 @@
             return False
         return outcome.changed
 
-    async def _tell(self, transition: GroupTransition, replica: int) -> None:
+    async def _send_group(self, transition: GroupTransition, replica: int) -> None:
         request = AdoptRequest(group=transition.group.message())
         if replica == self.acceptor.number:
             answer = await self.acceptor.answer(replica, request)
         else:
-            reply = await self.peers.ask(replica, request)
-            if reply is None:
+            peer_answer = await self.peers.ask(replica, request)
+            if peer_answer is None:
                 return
-            answer = reply
+            answer = peer_answer
         if isinstance(answer, AdoptAnswer):
             transition.receive(replica, answer.revision, answer.admitted, answer.registers)
--- a/gullmount/consensus/local_acceptor.py
+++ b/gullmount/consensus/local_acceptor.py
@@ -109,13 +109,13 @@
     async def answer(self, sender: int, request: PeerRequest) -> PeerAnswer:
         """Return the answer to a request, once it is stored; raise InvalidMessageError, StorageWriteError."""
         async with self.write_lock:
-            before = self.state.group
-            answer = self._decide(sender, request)
+            previous_group = self.state.group
+            answer = self._process(sender, request)
             await self.save()
-        self.note_group(before)
+        self.note_group(previous_group)
         return answer
 
-    def _decide(self, sender: int, request: PeerRequest) -> PeerAnswer:
+    def _process(self, sender: int, request: PeerRequest) -> PeerAnswer:
         state = self.state
         if isinstance(request, JoinRequest):
             return state.answer_join(sender, request.incarnation)
@@ -139,15 +139,15 @@
     async def adopt(self, group: ReplicaGroup) -> None:
         """Adopt a newer group, on the storage; raise StorageWriteError."""
         async with self.write_lock:
-            before = self.state.group
+            previous_group = self.state.group
             if self.state.adopt_group(group):
                 await self.save()
-        self.note_group(before)
+        self.note_group(previous_group)
 
-    def note_group(self, before: ReplicaGroup) -> None:
+    def note_group(self, previous_group: ReplicaGroup) -> None:
         """Wake whoever waits for another group, if there is one since `before`."""
         group = self.state.group
-        if group.revision <= before.revision:
+        if group.revision <= previous_group.revision:
             return
         self.log(
             LogEvent.GROUP_ADOPTED,
--- a/gullmount/consensus/membership.py
+++ b/gullmount/consensus/membership.py
@@ -102,9 +102,9 @@
         """The highest number that was ever a member's, or is to be."""
         return max([self.highest_number, *self.addresses])
 
-    def others(self, me: int) -> list[int]:
+    def others(self, own_number: int) -> list[int]:
         """Return the members of either set without `me`."""
-        return sorted(number for number in self.addresses if number != me)
+        return sorted(number for number in self.addresses if number != own_number)
 
     def has_majority(self, replicas: Collection[int]) -> bool:
         """Return whether these are a majority of each set."""
@@ -112,14 +112,15 @@
             len(set(members) & set(replicas)) >= majority(len(members)) for members in self.member_sets
         )
 
-    def meets_every_majority(self, me: int, others: Collection[int]) -> bool:
+    def meets_every_majority(self, own_number: int, others: Collection[int]) -> bool:
         """Return whether these others meet every majority that ever counted `me`.
 
         Never if it is no member.
         """
-        mine = [members for members in self.member_sets if me in members]
-        return bool(mine) and all(
-            len((set(members) - {me}) & set(others)) >= answers_to_recover(len(members)) for members in mine
+        own_sets = [members for members in self.member_sets if own_number in members]
+        return bool(own_sets) and all(
+            len((set(members) - {own_number}) & set(others)) >= answers_to_recover(len(members))
+            for members in own_sets
         )
 
     def admits_as_new(self, number: int, mark: str) -> bool:
@@ -134,8 +135,8 @@
             self.highest_used,
             self.join_mark,
         )
-        built: dict[str, Any] = msgspec.to_builtins(value)
-        return built
+        encoded: dict[str, Any] = msgspec.to_builtins(value)
+        return encoded
 
     def message(self) -> GroupMessage:
         """Return the group as messages carry it."""
@@ -213,8 +214,12 @@
 
 def group_from_register(revision: int, value: Any) -> ReplicaGroup:
     """Return the group that its register holds; raise InvalidMessageError where it holds none."""
-    read = convert(value, GroupValue)
-    return group_from(GroupMessage(revision, read.current, read.next, read.highest_number, read.join_mark))
+    group_value = convert(value, GroupValue)
+    return group_from(
+        GroupMessage(
+            revision, group_value.current, group_value.next, group_value.highest_number, group_value.join_mark
+        )
+    )
 
 
 class GroupTransition:
--- a/gullmount/consensus/messages.py
+++ b/gullmount/consensus/messages.py
@@ -16,14 +16,14 @@
 MAX_COUNTER = 1 << 50  # of a ballot or a version: at 1000 rounds a second it takes 35000 years
 MAX_REGISTER_NAME = 100  # characters
 MAX_REPLICA_NUMBER = 1000
-MAX_ADDRESS = 300  # characters
-MAX_JOIN_MARK = 32  # characters
+MAX_ADDRESS_LENGTH = 300  # characters
+MAX_JOIN_MARK_LENGTH = 32  # characters
 
 Counter = Annotated[int, Meta(ge=0, le=MAX_COUNTER)]
 RegisterName = Annotated[str, Meta(min_length=1, max_length=MAX_REGISTER_NAME)]
 Revision = Annotated[int, Meta(ge=0)]
 Member = tuple[
-    Annotated[int, Meta(ge=1, le=MAX_REPLICA_NUMBER)], Annotated[str, Meta(max_length=MAX_ADDRESS)]
+    Annotated[int, Meta(ge=1, le=MAX_REPLICA_NUMBER)], Annotated[str, Meta(max_length=MAX_ADDRESS_LENGTH)]
 ]
 Members = tuple[Member, ...]
 KnownIncarnations = tuple[tuple[int, int], ...]
@@ -67,7 +67,7 @@
     current: Members = field(name="now")
     next: Members
     highest_number: int = field(name="highest")
-    join_mark: Annotated[str, Meta(max_length=MAX_JOIN_MARK)] = field(name="born")
+    join_mark: Annotated[str, Meta(max_length=MAX_JOIN_MARK_LENGTH)] = field(name="born")
 
 
 class GroupMessage(Struct, frozen=True):
@@ -77,7 +77,7 @@
     current: Members = field(name="now")
     next: Members
     highest_number: int = field(name="highest")
-    join_mark: Annotated[str, Meta(max_length=MAX_JOIN_MARK)] = field(name="born")
+    join_mark: Annotated[str, Meta(max_length=MAX_JOIN_MARK_LENGTH)] = field(name="born")
 
 
 class RegisterMessage(Struct, frozen=True):
--- a/gullmount/consensus/proposer.py
+++ b/gullmount/consensus/proposer.py
@@ -24,8 +24,8 @@
 from gullmount.consensus.peers import PeerClient
 from gullmount.rpc import InvalidMessageError
 
-MAX_WAITING = 256  # proposals of one register; more are rejected at once
-BACKOFF_SECONDS = 0.01  # most of a wait after a round that was superseded; doubles each time
+MAX_WAITING_PROPOSALS = 256  # proposals of one register; more are rejected at once
+INITIAL_BACKOFF_SECONDS = 0.01  # most of a wait after a round that was superseded; doubles each time
 MAX_BACKOFF_SECONDS = 0.2
 MARK_BITS = 62
 
@@ -48,7 +48,7 @@
         self.chosen_values = chosen_values
         self.random = random
         self.log = log
-        self._turns: dict[str, anyio.Lock] = defaultdict(anyio.Lock)
+        self._proposal_locks: dict[str, anyio.Lock] = defaultdict(anyio.Lock)
 
     async def read(self, register: str) -> RegisterState:
         """Return what is chosen; raise NoMajorityError."""
@@ -62,20 +62,20 @@
         With `rewrite` what is chosen is written once more. Raises NoMajorityError where nothing was changed,
         OutcomeUnknownError where that can't be told, StorageWriteError.
         """
-        turn = self._turns[register]
-        if turn.statistics().tasks_waiting >= MAX_WAITING:
+        proposal_lock = self._proposal_locks[register]
+        if proposal_lock.statistics().tasks_waiting >= MAX_WAITING_PROPOSALS:
             raise QueueFullError
         mark = f"{self.random.getrandbits(MARK_BITS):x}"
         proposal = Proposal(register, expected_version, value, mark, rewrite)
         with anyio.move_on_after(self.config.settle_within):
-            async with turn:
+            async with proposal_lock:
                 return await self._run_rounds(proposal)
         if proposal.may_be_accepted:
             raise ProposalTimeoutError
         raise MajorityTimeoutError
 
     async def _run_rounds(self, proposal: Proposal) -> ProposalOutcome:
-        backoff = BACKOFF_SECONDS
+        backoff = INITIAL_BACKOFF_SECONDS
         while True:
             outcome = proposal.outcome(await self._run_round(proposal))
             if outcome is not None:
@@ -110,11 +110,11 @@
         The own acceptor comes first: a ballot that is on no storage could be drawn again.
         """
         request = ballot_round.request()
-        me = self.acceptor.number
-        if ballot_round.receive(me, phase, await self.acceptor.answer(me, request)):
+        own_number = self.acceptor.number
+        if ballot_round.receive(own_number, phase, await self.acceptor.answer(own_number, request)):
             return
         async with anyio.create_task_group() as tasks:
-            for replica in ballot_round.group.others(me):
+            for replica in ballot_round.group.others(own_number):
                 tasks.start_soon(self._ask, ballot_round, phase, request, replica, tasks.cancel_scope)
 
     async def _ask(
--- a/tests/consensus/test_ballot_round.py
+++ b/tests/consensus/test_ballot_round.py
@@ -11,29 +11,29 @@
 )
 
 
-def test_answers_of_an_incarnation_that_was_followed_are_not_counted() -> None:
+def test_answer_of_a_superseded_incarnation_is_not_counted() -> None:
     """Guards against a replica that lost its storage after it promised: the promise is not there any more."""
     states = {number: AcceptorState(number, THREE) for number in MEMBERS}
     change = RegisterChange("job", 0, MarkedValue("mark", "a"))
-    one = BallotRound(change, Ballot(1, 1, 0), THREE, states[1].known_incarnations)
-    answers = {number: state.prepare("job", one.ballot) for number, state in states.items()}
+    ballot_round = BallotRound(change, Ballot(1, 1, 0), THREE, states[1].known_incarnations)
+    answers = {number: state.prepare("job", ballot_round.ballot) for number, state in states.items()}
     states[3].answer_join(2, 1)
-    late = states[3].prepare("job", Ballot(2, 1, 0))
-    assert not one.receive(1, Phase.PREPARE, answers[1])
+    later_answer = states[3].prepare("job", Ballot(2, 1, 0))
+    assert not ballot_round.receive(1, Phase.PREPARE, answers[1])
     # Of another phase, but it tells of replica 2's new incarnation.
-    assert not one.receive(3, Phase.ACCEPT, late)
-    assert not one.receive(2, Phase.PREPARE, answers[2])
-    assert one.receive(3, Phase.PREPARE, answers[3])
+    assert not ballot_round.receive(3, Phase.ACCEPT, later_answer)
+    assert not ballot_round.receive(2, Phase.PREPARE, answers[2])
+    assert ballot_round.receive(3, Phase.PREPARE, answers[3])
 
 
-def test_proposal_that_is_broken_off_while_it_is_written_may_be_accepted() -> None:
+def test_proposal_cancelled_in_the_accept_phase_may_be_accepted() -> None:
     """Guards against "nothing was changed" where the time was up in the second phase."""
     states = {number: AcceptorState(number, THREE) for number in MEMBERS}
     proposal = Proposal("job", 0, "a", "mark")
-    one = proposal.start_round(Ballot(1, 1, 0), THREE, states[1].known_incarnations)
+    ballot_round = proposal.start_round(Ballot(1, 1, 0), THREE, states[1].known_incarnations)
     assert not proposal.may_be_accepted
     for number in (1, 2):
-        one.receive(number, Phase.PREPARE, states[number].prepare("job", one.ballot))
-    assert one.phase is Phase.ACCEPT and proposal.may_be_accepted
+        ballot_round.receive(number, Phase.PREPARE, states[number].prepare("job", ballot_round.ballot))
+    assert ballot_round.phase is Phase.ACCEPT and proposal.may_be_accepted
     proposal.start_round(Ballot(2, 1, 0), THREE, states[1].known_incarnations)
     assert proposal.may_be_accepted
--- a/tests/consensus/test_membership.py
+++ b/tests/consensus/test_membership.py
@@ -23,7 +23,7 @@
 )
 
 
-def test_a_joint_group_needs_a_majority_of_each_set() -> None:
+def test_joint_group_needs_a_majority_of_each_member_set() -> None:
     joint = group_from_register(1, ReplicaGroup(0, MEMBERS, {}).changed(FOUR_FOR_ONE, "m").register_value())
     assert not joint.has_majority({1, 2}) and not joint.has_majority({2, 4})
     assert joint.has_majority({2, 3}) and joint.has_majority({1, 2, 4})
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("members", "said"),
+    ("members", "message_part"),
     [
         (MEMBERS, "are the members now"),
         ({**WITH_FOUR, 5: "e:1"}, "one replica at a time"),
@@ -42,8 +42,8 @@
         ({1: MEMBERS[1], 2: MEMBERS[2]}, "3 to 5"),
     ],
 )
-def test_a_change_that_cannot_be_made_is_rejected(members: dict[int, str], said: str) -> None:
-    with pytest.raises(GroupChangeError, match=said):
+def test_invalid_membership_change_is_rejected(members: dict[int, str], message_part: str) -> None:
+    with pytest.raises(GroupChangeError, match=message_part):
         ReplicaGroup(0, MEMBERS, {}).changed(members, "")
     with pytest.raises(GroupChangeError, match="under way"):
         ReplicaGroup(1, MEMBERS, WITH_FOUR).changed(members, "")
@@ -62,8 +62,8 @@
 @pytest.mark.parametrize(
     "value", [None, [], {}, {"now": [[1, "a:1"]]}, {"now": [[0, "a"]] * 3}, {"now": [["1", "a"]], "next": []}]
 )
-def test_what_is_no_group_is_invalid(value: Any) -> None:
-    good = ReplicaGroup(0, MEMBERS, {}).register_value()
-    assert group_from_register(1, good).current == MEMBERS
+def test_malformed_group_value_is_rejected(value: Any) -> None:
+    valid_group = ReplicaGroup(0, MEMBERS, {}).register_value()
+    assert group_from_register(1, valid_group).current == MEMBERS
     with pytest.raises(InvalidMessageError):
-        group_from_register(1, good | value if isinstance(value, dict) and value else value)
+        group_from_register(1, valid_group | value if isinstance(value, dict) and value else value)
--- a/tests/consensus/test_messages.py
+++ b/tests/consensus/test_messages.py
@@ -10,16 +10,21 @@
 from gullmount.rpc import decode_as
 from tests.support.paths import DATA
 
-SENT = [json.loads(line) for line in (DATA / "replicas_883dea8" / "messages.jsonl").read_text().splitlines()]
+RECORDED_MESSAGES = [
+    json.loads(line) for line in (DATA / "replicas_883dea8" / "messages.jsonl").read_text().splitlines()
+]
 
 
-@pytest.mark.parametrize(("kind", "text"), SENT)
-def test_a_message_of_an_earlier_version_is_read_and_written_byte_for_byte(kind: str, text: str) -> None:
+@pytest.mark.parametrize(("kind", "text"), RECORDED_MESSAGES)
+def test_recorded_message_decodes_and_encodes_to_the_same_bytes(kind: str, text: str) -> None:
     message = decode_as(text.encode(), getattr(messages, kind))
     assert messages.encode(message).decode() == text
 
 
-def test_each_kind_of_message_has_an_example() -> None:
-    kinds = {kind for kind, _ in SENT}
-    wanted = {kind.__name__ for kind in (*messages.REQUESTS.values(), *messages.ANSWERS.values())}
-    assert wanted <= kinds and {"RejectedAnswer", "RegisterAnswer", "RegisterLine", "GroupAnswer"} <= kinds
+def test_each_message_type_has_a_recorded_example() -> None:
+    kinds = {kind for kind, _ in RECORDED_MESSAGES}
+    expected_kinds = {kind.__name__ for kind in (*messages.REQUESTS.values(), *messages.ANSWERS.values())}
+    assert (
+        expected_kinds <= kinds
+        and {"RejectedAnswer", "RegisterAnswer", "RegisterLine", "GroupAnswer"} <= kinds
+    )
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -28,8 +28,8 @@
 )
 
 
-def test_a_register_changes_only_over_the_version_expected() -> None:
-    async def scene(group: ReplicaCluster) -> None:
+def test_register_changes_only_at_the_expected_version() -> None:
+    async def script(group: ReplicaCluster) -> None:
         client = group.client()
         assert await client.read("job") == RegisterValue(0, None)
         assert await client.change("job", 0, "a") == (True, RegisterValue(1, "a"))
@@ -37,31 +37,31 @@
         assert await client.change("job", 1, None) == (True, RegisterValue(2, None))
         assert await client.read("other") == RegisterValue(0, None)
 
-    run_replica_cluster(scene)
+    run_replica_cluster(script)
 
 
-def test_of_many_changes_at_once_one_is_made() -> None:
-    async def scene(group: ReplicaCluster) -> list[tuple[bool, RegisterValue]]:
-        out: list[tuple[bool, RegisterValue]] = []
+def test_one_of_many_concurrent_changes_is_made() -> None:
+    async def script(group: ReplicaCluster) -> list[tuple[bool, RegisterValue]]:
+        results: list[tuple[bool, RegisterValue]] = []
 
         async def change(number: int) -> None:
             client = group.client(number)
             client.preferred["job"] = number % 3
-            out.append(await client.change("job", 0, number))
+            results.append(await client.change("job", 0, number))
 
         async with anyio.create_task_group() as tasks:
             for number in range(30):
                 tasks.start_soon(change, number)
-        return out
+        return results
 
     for seed in range(3):
-        out = run_replica_cluster(scene, seed)
-        (winner,) = [told for done, told in out if done]
-        assert {told for _, told in out} == {winner} and len(out) == 30
+        results = run_replica_cluster(script, seed)
+        (chosen,) = [register for changed, register in results if changed]
+        assert {register for _, register in results} == {chosen} and len(results) == 30
 
 
-def test_without_a_majority_nothing_is_changed_and_what_was_comes_back() -> None:
-    async def scene(group: ReplicaCluster) -> None:
+def test_change_without_a_majority_fails_and_the_register_survives_restarts() -> None:
+    async def script(group: ReplicaCluster) -> None:
         client = group.client()
         await client.change("job", 0, "a")
         group.kill(1, 2)
@@ -69,28 +69,28 @@
             await client.change("job", 1, "b")
         group.start(1, 2)
         await anyio.sleep(3)
-        told = await client.read("job")
-        assert told.value in ("a", "b")
+        register = await client.read("job")
+        assert register.value in ("a", "b")
         group.kill(*MEMBERS)
         await anyio.sleep(1)
         group.start(*MEMBERS)
         await anyio.sleep(3)
-        assert await client.read("job") == told
+        assert await client.read("job") == register
 
-    run_replica_cluster(scene)
+    run_replica_cluster(script)
 
 
 @pytest.mark.parametrize("disk", ["blank", "older"])
-def test_a_storage_that_lost_its_state_takes_no_part_until_both_others_told_theirs(disk: str) -> None:
-    async def scene(group: ReplicaCluster) -> None:
+def test_replica_with_lost_state_is_admitted_only_after_both_others_sent_their_state(disk: str) -> None:
+    async def script(group: ReplicaCluster) -> None:
         client = group.client()
-        old = dict(group.storages[1].rows)
+        older_rows = dict(group.storages[1].rows)
         await client.change("job", 0, "a")
         group.kill(1, 3)  # replica 2 and, until now, 1 or 3 know of it
         await anyio.sleep(1)
         group.storages[1] = MemoryStorage()
         if disk == "older":
-            group.storages[1].rows = old
+            group.storages[1].rows = older_rows
         group.start(1)
         await anyio.sleep(5)
         assert group.admitted(1) == 1
@@ -101,11 +101,11 @@
         group.kill(2)
         assert await client.read("job") == RegisterValue(1, "a")
 
-    run_replica_cluster(scene)
+    run_replica_cluster(script)
 
 
-def test_two_blank_storages_are_not_taken_for_new_replicas() -> None:
-    async def scene(group: ReplicaCluster) -> None:
+def test_two_replicas_with_blank_storage_are_not_admitted_as_new() -> None:
+    async def script(group: ReplicaCluster) -> None:
         group.kill(1, 2)
         await anyio.sleep(1)
         for number in (1, 2):
@@ -114,30 +114,30 @@
         await anyio.sleep(20)
         assert group.admitted(1) == group.admitted(2) == 1
 
-    run_replica_cluster(scene)
+    run_replica_cluster(script)
 
 
 @pytest.mark.parametrize("before", [True, False])
 @pytest.mark.parametrize("number", [1, 2])
-def test_replica_killed_at_each_write_leaves_one_order(number: int, before: bool) -> None:
+def test_history_has_one_order_when_a_replica_is_killed_at_any_write(number: int, before: bool) -> None:
     """The proposer and an acceptor, at every write of two changes; then its disk as it is, or blank."""
 
-    async def scene(group: ReplicaCluster, at: int, blank: bool) -> list[dict[str, Any]]:
+    async def script(group: ReplicaCluster, write_number: int, blank: bool) -> list[dict[str, Any]]:
         record, client = Record(), group.client()
         client.preferred["job"] = MEMBERS[1]
         group.kill(number)
         await anyio.sleep(1)
         rows = group.storages[number].rows
-        group.storages[number] = KillingStorage(rows, at + 2, before, lambda: group.kill(number))
+        group.storages[number] = KillingStorage(rows, write_number + 2, before, lambda: group.kill(number))
         group.start(number)
         await anyio.sleep(2)
 
-        async def ask(name: str, expect: int | None) -> None:
-            change = {} if expect is None else {"expect": expect, "value": name}
+        async def perform_operation(name: str, expected_version: int | None) -> None:
+            change = {} if expected_version is None else {"expect": expected_version, "value": name}
             await record_operation(client, record, "job", name, change)
 
         for name in ("a", "b"):
-            await ask(name, (await client.read("job")).version)
+            await perform_operation(name, (await client.read("job")).version)
         group.storages[number] = MemoryStorage()
         if not blank:
             group.storages[number].rows = rows
@@ -147,27 +147,29 @@
         await anyio.sleep(3)
         other = 3 - number
         group.kill(other)
-        await ask("c", None)
-        await ask("d", (await client.read("job")).version)
-        await ask("e", None)
+        await perform_operation("c", None)
+        await perform_operation("d", (await client.read("job")).version)
+        await perform_operation("e", None)
         return record.events
 
-    for at in range(1, 9):
+    for write_number in range(1, 9):
         for blank in (True, False):
-            events = run_replica_cluster(lambda group, at=at, blank=blank: scene(group, at, blank))
-            assert check_history(events).breaches == [], (at, blank)
-            ends = [event["end"] for event in events if event["ev"] == "op_end"]
-            assert ends[-3:] == ["done"] * 3, (at, blank, events)
+            events = run_replica_cluster(
+                lambda group, write_number=write_number, blank=blank: script(group, write_number, blank)
+            )
+            assert check_history(events).breaches == [], (write_number, blank)
+            outcomes = [event["end"] for event in events if event["ev"] == "op_end"]
+            assert outcomes[-3:] == ["done"] * 3, (write_number, blank, events)
 
 
-def test_a_full_disk_ends_the_replica_before_it_answers_anything() -> None:
-    class Full(MemoryStorage):
+def test_failed_storage_write_ends_the_replica_before_it_answers() -> None:
+    class FullStorage(MemoryStorage):
         def write(self, rows: dict[str, Any]) -> None:
             raise StorageWriteError("no space left")
 
-    async def scene(group: ReplicaCluster) -> None:
+    async def script(group: ReplicaCluster) -> None:
         rows = dict(group.storages[2].rows)
-        group.storages[2] = Full()
+        group.storages[2] = FullStorage()
         group.storages[2].rows = rows
         replica = Replica(
             ReplicaConfig(number=2, group="g", members=MEMBERS, disk="none"),
@@ -181,4 +183,4 @@
             await replica.run()
         assert replica.acceptor.failed and not replica.acceptor.admitted.is_set()
 
-    run_replica_cluster(scene)
+    run_replica_cluster(script)
--- a/tests/support/replicas.py
+++ b/tests/support/replicas.py
@@ -42,21 +42,23 @@
     def start(self, *numbers: int, bootstrap: bool = False) -> None:
         for number in numbers:
             self.scopes[number] = anyio.CancelScope()
-            self.tasks.start_soon(self.live, number, bootstrap, self.scopes[number])
+            self.tasks.start_soon(self._run_replica, number, bootstrap, self.scopes[number])
 
-    async def live(self, number: int, bootstrap: bool, scope: anyio.CancelScope) -> None:
+    async def _run_replica(self, number: int, bootstrap: bool, scope: anyio.CancelScope) -> None:
         self.incarnation += 1
-        here = f"10.0.0.{number}:7299"
-        config = ReplicaConfig(number=number, group="g", members=MEMBERS, disk="none", listen=here)
+        listen_address = f"10.0.0.{number}:7299"
+        config = ReplicaConfig(number=number, group="g", members=MEMBERS, disk="none", listen=listen_address)
 
         def log(event: str, **fields: Any) -> None:
             self.logs.append((number, event, fields))
 
         with scope:
             random = Random(self.incarnation)
-            party = self.host_network(f"10.0.0.{number}")
+            network = self.host_network(f"10.0.0.{number}")
             storage = self.storages.setdefault(number, MemoryStorage())
-            replica = Replica(config, net=party, storage=storage, random=random, log=log, bootstrap=bootstrap)
+            replica = Replica(
+                config, net=network, storage=storage, random=random, log=log, bootstrap=bootstrap
+            )
             await replica.run()
 
     def kill(self, *numbers: int) -> None:
@@ -67,43 +69,48 @@
         return RegisterClient(self.host_network("10.0.9.9"), list(MEMBERS.values()), Random(seed), 3.0)
 
     def admitted(self, number: int) -> int:
-        return sum(one == number and event == LogEvent.REPLICA_ADMITTED for one, event, _ in self.logs)
+        return sum(
+            replica_number == number and event == LogEvent.REPLICA_ADMITTED
+            for replica_number, event, _ in self.logs
+        )
 
 
 def run_replica_cluster(script: Callable[[ReplicaCluster], Awaitable[Any]], seed: int = 1) -> Any:
     """Play a script on a new group of three replicas in virtual time; return what it returns."""
 
-    async def play() -> Any:
+    async def run_script() -> Any:
         async with anyio.create_task_group() as tasks:
-            scene = ReplicaCluster(tasks)
-            scene.start(*MEMBERS, bootstrap=True)
+            cluster = ReplicaCluster(tasks)
+            cluster.start(*MEMBERS, bootstrap=True)
             await anyio.sleep(2)
-            out = await script(scene)
+            result = await script(cluster)
             tasks.cancel_scope.cancel()
-        return out
+        return result
 
-    return run_in_virtual_time(play, seed)
+    return run_in_virtual_time(run_script, seed)
 
 
-def group_client(scene: ReplicaCluster) -> ReplicaGroupClient:
+def group_client(cluster: ReplicaCluster) -> ReplicaGroupClient:
     """An operator, who knows all four addresses."""
-    return ReplicaGroupClient(scene.host_network("10.0.9.8"), list(WITH_FOUR.values()), 3.0)
+    return ReplicaGroupClient(cluster.host_network("10.0.9.8"), list(WITH_FOUR.values()), 3.0)
 
 
 class KillingStorage(MemoryStorage):
     """Ends its replica at one write: before it is on the disk, or after, before anything was answered."""
 
-    def __init__(self, rows: dict[str, bytes], at: int, before: bool, kill: Callable[[], None]) -> None:
+    def __init__(
+        self, rows: dict[str, bytes], fatal_write: int, kill_before_write: bool, kill: Callable[[], None]
+    ) -> None:
         super().__init__()
         self.rows = rows
-        self.left = at
-        self.before = before
+        self.writes_left = fatal_write
+        self.kill_before_write = kill_before_write
         self.kill = kill
 
     async def save(self, rows: dict[str, Any]) -> None:
-        self.left -= 1
-        if self.left or not self.before:
+        self.writes_left -= 1
+        if self.writes_left or not self.kill_before_write:
             self.write(rows)
-        if not self.left:
+        if not self.writes_left:
             self.kill()
             await anyio.sleep(1)
