--- a/gullmount/consensus/acceptor.py
+++ b/gullmount/consensus/acceptor.py
@@ -1,14 +1,13 @@
-"""What one replica promised and accepted of each register, and which incarnations of the others it knows.
-
-Only what a replica must not forget lives here; no I/O, clock or randomness. The algorithm is CASPaxos
-(Rystsov 2018, arXiv:1802.07000): single-decree Paxos whose proposers read the value in the first phase and
-write a change of it in the second, without a log or a leader. The caller stores `unsaved_rows` before it lets
-an answer leave.
-
-Disks are lost, torn or restored from an earlier copy, and a replica can't see that by itself. So each start
-is a new incarnation, numbered upward, and takes part only after recovery (`recovery.py`). Answers carry the
-incarnations that their sender knows; a proposer does not count an answer from an incarnation that another one
-has followed.
+"""Keeps the promises and accepted values of one replica, and the incarnations that it knows of the others.
+
+- The module holds only state that must survive a restart, and uses no I/O, clock or randomness.
+- The algorithm is CASPaxos (Rystsov 2018, arXiv:1802.07000): single-decree Paxos whose proposers read the
+  value in the first phase and write a changed value in the second, without a log or a leader.
+- The caller must store `unsaved_rows` before it sends an answer.
+- A disk may be lost, torn or restored from an earlier copy, and a replica can't detect that by itself. So
+  each start is a new incarnation with a higher number, and takes part only after recovery (`recovery.py`).
+- Answers carry the incarnations that their sender knows. A proposer does not count an answer from an
+  incarnation that a newer one has superseded.
 """
 
 from __future__ import annotations
@@ -37,19 +36,20 @@
 )
 from gullmount.rpc.messages import convert
 
-MAX_REGISTERS = 256  # one for each leased work and some for policy
+# Leaves room for one register per leased work and some for policy.
+MAX_REGISTERS = 256
 
 
 @dataclass
 class RegisterState:
-    """One register as this acceptor knows it.
+    """Holds the state of one register at this acceptor.
 
     Attributes:
-        promised: nothing below this ballot is accepted.
-        accepted: the ballot by which the value was accepted.
-        version: grows by one with each change; 0 is never set.
-        value: None while the register was never set.
-        learned: taken over from another replica; this one never accepted it itself.
+        promised: Lowest ballot that the acceptor may still accept.
+        accepted: Ballot with which the value was accepted.
+        version: Number that grows by one with each change. 0 means that the register was never set.
+        value: Accepted value, or None if the register was never set.
+        learned: Whether the value was copied from another replica and never accepted by this one.
     """
 
     promised: Ballot = NO_BALLOT
@@ -59,33 +59,33 @@
     learned: bool = False
 
     def message(self, register: str) -> RegisterMessage:
-        """Return the register as messages and the storage carry it."""
+        """Return the encoded form of the register for messages and storage."""
         return RegisterMessage(register, self.promised, self.accepted, self.version, self.value, self.learned)
 
     @property
     def client_value(self) -> Any:
-        """What a client wrote, without the mark of the proposal."""
+        """The value that a client wrote, without the mark of the proposal."""
         return None if self.value is None else self.value.value
 
 
 def register_from(message: RegisterMessage | PromiseAnswer) -> RegisterState:
-    """Return the register's state of a message."""
+    """Return the register state that a message carries."""
     return RegisterState(message.promised, message.accepted, message.version, message.value, message.learned)
 
 
 class AcceptorState:
-    """The state of one acceptor; it outlives the process through `unsaved_rows`.
+    """Holds the state of one acceptor. The caller persists it by storing `unsaved_rows`.
 
     Attributes:
-        number: the replica's own.
-        group: the newest group known.
-        join_mark: of this process; never stored.
-        incarnation: of this process, 0 before it has one.
-        requested_incarnation: the newest that others were asked for; none of them knows a later one.
-        complete: whether nothing is missing; a blank storage's state isn't complete.
-        registers: by name.
-        known_incarnations: by replica, the newest.
-        unsaved_rows: what is to be stored, by key of the storage.
+        number: Number of this replica.
+        group: Newest known group.
+        join_mark: Join mark of this process. It is never stored.
+        incarnation: Incarnation of this process, or 0 before it has one.
+        requested_incarnation: Newest incarnation requested from others. None of them knows a later one.
+        complete: Whether no state is missing. The state of a blank storage is not complete.
+        registers: Register states by name.
+        known_incarnations: Newest known incarnation by replica number.
+        unsaved_rows: Rows to be stored, by storage key.
     """
 
     def __init__(self, number: int, group: ReplicaGroup) -> None:
@@ -102,30 +102,30 @@
     # Storage
 
     def take_unsaved_rows(self) -> dict[str, Any]:
-        """Return what is to be stored now; each row is returned once."""
+        """Return the unsaved rows and clear them."""
         rows, self.unsaved_rows = self.unsaved_rows, {}
         return rows
 
     def note_replica(self) -> None:
-        """Have the replica's own row stored."""
+        """Add the replica's own row to the unsaved rows."""
         self.unsaved_rows["self"] = ReplicaMessage(
             self.number, self.incarnation, self.requested_incarnation, self.complete
         )
 
     def note_register(self, register: str) -> None:
-        """Have a register's row stored."""
+        """Add a register's row to the unsaved rows."""
         self.unsaved_rows[f"slot/{register}"] = self.registers[register].message(register)
 
     def note_incarnation(self, replica: int, incarnation: int) -> None:
-        """Learn of a replica's incarnation, and have it stored where it is news."""
+        """Record a replica's incarnation if it is newer than the known one."""
         if incarnation > self.known_incarnations.get(replica, 0):
             self.known_incarnations[replica] = incarnation
             self.unsaved_rows[f"life/{replica}"] = incarnation
 
     def restore(self, rows: dict[str, Any]) -> None:
-        """Take over what an earlier process stored.
+        """Load the rows that an earlier process stored.
 
-        Raises InvalidMessageError where it is not this replica's, or not what a replica stores.
+        Raises InvalidMessageError if the rows belong to another replica or are malformed.
         """
         stored = convert(rows.get("self"), ReplicaMessage)
         if stored.number != self.number:
@@ -145,14 +145,14 @@
                 self.group = max(self.group, group, key=lambda known: known.revision)
 
     def bootstrap(self) -> None:
-        """Begin as a new replica, which has promised nothing."""
+        """Mark the state as complete, because a new replica has promised nothing yet."""
         self.complete = True
         self.note_replica()
 
     # Group
 
     def adopt_group(self, group: ReplicaGroup) -> bool:
-        """Adopt a newer group; return whether it was one."""
+        """Adopt the group if it is newer than the known one; return whether it was."""
         if group.revision <= self.group.revision:
             return False
         self.group = group
@@ -163,9 +163,9 @@
         return True
 
     def check_group(self, request: PeerRequest) -> RejectedAnswer | None:
-        """Adopt the group that a request goes by; return what is answered where it is older than ours.
+        """Adopt the group of a request if it is newer; return a rejection if it is outdated.
 
-        Raises InvalidMessageError where it is no group.
+        Raises InvalidMessageError if the request carries an invalid group.
         """
         if request.group is not None:
             self.adopt_group(group_from(request.group))
@@ -180,7 +180,7 @@
         return None
 
     def answer_adopt(self, admitted: bool) -> AdoptAnswer:
-        """Tell which group is adopted and which registers are known."""
+        """Return an answer with the adopted group's revision and the names of the known registers."""
         return AdoptAnswer(
             incarnation=self.incarnation,
             known_incarnations=self.incarnation_pairs(),
@@ -194,7 +194,10 @@
     # The two phases of a round
 
     def register_state(self, register: str) -> RegisterState:
-        """Return a register's state; raise InvalidMessageError where it can't be there."""
+        """Return a register's state, created if absent.
+
+        Raises InvalidMessageError if the name is invalid or the number of registers is at its limit.
+        """
         if register not in self.registers:
             if len(self.registers) >= MAX_REGISTERS:
                 raise RegisterLimitError(MAX_REGISTERS)
@@ -204,7 +207,7 @@
         return self.registers[register]
 
     def incarnation_pairs(self) -> KnownIncarnations:
-        """Return the newest known incarnation of each replica, as answers carry them."""
+        """Return the newest known incarnation of each replica as pairs sorted by replica number."""
         return tuple(sorted(self.known_incarnations.items()))
 
     def rejected(self, promised: Ballot) -> RejectedAnswer:
@@ -217,7 +220,7 @@
         )
 
     def prepare(self, register: str, ballot: Ballot) -> PeerAnswer:
-        """Promise to accept nothing below `ballot`, and tell what was accepted."""
+        """Promise to accept nothing below `ballot` and return what was accepted, or reject the ballot."""
         state = self.register_state(register)
         if ballot <= state.promised:
             return self.rejected(state.promised)
@@ -236,7 +239,7 @@
         )
 
     def accept(self, register: str, ballot: Ballot, version: int, value: MarkedValue | None) -> PeerAnswer:
-        """Accept a version and value unless a higher ballot was promised."""
+        """Accept a version and a value unless a higher ballot was promised."""
         state = self.register_state(register)
         if ballot < state.promised:
             return self.rejected(state.promised)
@@ -249,7 +252,7 @@
     # Other replicas' starts
 
     def answer_join(self, replica: int, incarnation: int) -> PeerAnswer:
-        """Write down that another replica begins an incarnation, and tell it the whole state."""
+        """Record a new incarnation of another replica and return the whole state, or reject an old number."""
         if incarnation <= self.known_incarnations.get(replica, 0):
             return RejectedAnswer(
                 incarnation=self.incarnation, known_incarnations=self.incarnation_pairs(), ok=False
@@ -266,7 +269,7 @@
         )
 
     def merge(self, registers: dict[str, RegisterState]) -> None:
-        """Take in another replica's registers: nothing that either had answered is taken back."""
+        """Merge another replica's registers. The result honours every answer that either replica has sent."""
         for register, received in sorted(registers.items()):
             own_register = self.register_state(register)
             own_register.promised = max(own_register.promised, received.promised)
--- a/gullmount/consensus/messages.py
+++ b/gullmount/consensus/messages.py
@@ -1,7 +1,8 @@
-"""The messages between replicas, clients and operators, and what is stored of them.
+"""Defines the messages between replicas, clients and operators, and the rows that replicas store.
 
-Only here is a name on the wire or on disk turned into the term that the code uses; docs/protocols.md
-describes them. Fields stand in the order in which they are written. No I/O, clock or randomness.
+This module alone maps the names on the wire and on disk to the names in the code; docs/protocols.md describes
+the formats. Fields are declared in the order in which they are encoded. The module uses no I/O, clock or
+randomness.
 """
 
 from __future__ import annotations
@@ -13,11 +14,15 @@
 
 from gullmount.rpc.messages import MESSAGE_VERSION
 
-MAX_COUNTER = 1 << 50  # of a ballot or a version: at 1000 rounds a second it takes 35000 years
-MAX_REGISTER_NAME = 100  # characters
+# Limits the counter of a ballot and the version of a register.
+# At 1000 rounds per second it takes 35000 years to reach.
+MAX_COUNTER = 1 << 50
+# Length in characters.
+MAX_REGISTER_NAME = 100
 MAX_REPLICA_NUMBER = 1000
-MAX_ADDRESS_LENGTH = 300  # characters
-MAX_JOIN_MARK_LENGTH = 32  # characters
+# Lengths in characters.
+MAX_ADDRESS_LENGTH = 300
+MAX_JOIN_MARK_LENGTH = 32
 
 Counter = Annotated[int, Meta(ge=0, le=MAX_COUNTER)]
 RegisterName = Annotated[str, Meta(min_length=1, max_length=MAX_REGISTER_NAME)]
@@ -30,12 +35,12 @@
 
 
 class Ballot(NamedTuple):
-    """The number of a round; ballots are ordered, and no two rounds share one.
+    """Identifies a round. Ballots are totally ordered, and no two rounds share one.
 
     Attributes:
-        counter: raised above every counter that the proposer has seen.
-        replica: the proposer's number.
-        incarnation: the proposer's incarnation.
+        counter: Number above every counter that the proposer has seen.
+        replica: Number of the proposer's replica.
+        incarnation: Incarnation of the proposer's replica.
     """
 
     counter: Counter
@@ -47,11 +52,11 @@
 
 
 class MarkedValue(Struct, frozen=True):
-    """A register's value as proposers write it.
+    """Holds a register's value as a proposer writes it.
 
     Attributes:
-        mark: drawn for each proposal: tells its value from an equal one of another proposal.
-        value: what the client wrote.
+        mark: Random identifier of the proposal. It distinguishes equal values of different proposals.
+        value: Value that the client wrote.
     """
 
     mark: str
@@ -62,7 +67,7 @@
 
 
 class GroupValue(Struct, frozen=True):
-    """What the register of the group holds; the register's version is the group's revision."""
+    """Holds the value of the group's register. The version of that register is the group's revision."""
 
     current: Members = field(name="now")
     next: Members
@@ -71,7 +76,7 @@
 
 
 class GroupMessage(Struct, frozen=True):
-    """A group as messages and the storage carry it."""
+    """Encodes a group for messages and storage."""
 
     revision: Revision
     current: Members = field(name="now")
@@ -81,7 +86,7 @@
 
 
 class RegisterMessage(Struct, frozen=True):
-    """One register of an acceptor as messages and the storage carry it."""
+    """Encodes one register of an acceptor for messages and storage."""
 
     register: RegisterName
     promised: Ballot
@@ -92,7 +97,7 @@
 
 
 class ReplicaMessage(Struct, frozen=True):
-    """What a replica stores of itself."""
+    """Encodes the row that a replica stores about itself."""
 
     number: int
     incarnation: int = field(name="life")
@@ -104,7 +109,7 @@
 
 
 class RequestHead(Struct, frozen=True):
-    """What each request between replicas begins with."""
+    """Holds the fields that identify the sender, group and kind of a request between replicas."""
 
     sender: int = field(name="from")
     group_name: str = field(name="group")
@@ -112,10 +117,10 @@
 
 
 class PeerRequest(Struct, frozen=True, kw_only=True):
-    """Base of the requests between replicas. The sender's client fills in `sender` and `group_name`.
+    """Base class of requests between replicas. The sender's client sets `sender` and `group_name`.
 
     Attributes:
-        group: the group that the request goes by; None where that is the one of the configuration files.
+        group: Group that the sender uses. None means the group of the configuration files.
     """
 
     v: int = MESSAGE_VERSION
@@ -125,7 +130,7 @@
 
 
 class PrepareRequest(PeerRequest, frozen=True, kw_only=True):
-    """First phase of a round: promise to accept nothing below `ballot`."""
+    """Asks an acceptor, in the first phase of a round, to promise to accept nothing below `ballot`."""
 
     kind: str = field(name="do", default="prepare")
     ballot: Ballot
@@ -133,7 +138,7 @@
 
 
 class AcceptRequest(PeerRequest, frozen=True, kw_only=True):
-    """Second phase of a round: accept this version and value."""
+    """Asks an acceptor, in the second phase of a round, to accept a version and a value."""
 
     kind: str = field(name="do", default="accept")
     ballot: Ballot
@@ -143,20 +148,20 @@
 
 
 class JoinRequest(PeerRequest, frozen=True, kw_only=True):
-    """A replica that starts asks for its next incarnation, and for the whole state of the other."""
+    """Announces the next incarnation of a starting replica and asks the receiver for its whole state."""
 
     kind: str = field(name="do", default="join")
     incarnation: int = field(name="life")
 
 
 class AdoptRequest(PeerRequest, frozen=True, kw_only=True):
-    """Adopt the group that the request carries."""
+    """Asks the receiver to adopt the group in the request."""
 
     kind: str = field(name="do", default="adopt")
 
 
 class ChosenRequest(PeerRequest, frozen=True, kw_only=True):
-    """Tells what is chosen of a register."""
+    """Notifies the receiver of the chosen version and value of a register."""
 
     kind: str = field(name="do", default="chosen")
     register: str
@@ -165,7 +170,7 @@
 
 
 class JoinMarkRequest(Struct, frozen=True, kw_only=True):
-    """An `AdoptRequest` to a replica outside the group, whose answer tells its join mark."""
+    """Asks a replica outside the group for its join mark. It is sent as an `AdoptRequest`."""
 
     v: int = MESSAGE_VERSION
     sender: int = field(name="from", default=0)
@@ -187,18 +192,18 @@
 
 
 class EmptyAnswer(Struct, frozen=True):
-    """Says that a request was taken."""
+    """Confirms that a request was received."""
 
     v: int = MESSAGE_VERSION
 
 
 class PeerAnswer(Struct, frozen=True, kw_only=True):
-    """What each answer between replicas carries.
+    """Base class of answers between replicas.
 
     Attributes:
-        incarnation: the sender's own.
-        known_incarnations: pairs of replica and newest incarnation, as the sender knows them.
-        ok: whether the request was done.
+        incarnation: Incarnation of the sender.
+        known_incarnations: Pairs of a replica number and the newest incarnation that the sender knows of it.
+        ok: Whether the request was carried out.
     """
 
     v: int = MESSAGE_VERSION
@@ -208,11 +213,11 @@
 
 
 class RejectedAnswer(PeerAnswer, frozen=True, kw_only=True):
-    """The request was not done.
+    """Reports that the request was rejected.
 
     Attributes:
-        promised: the ballot that a higher one is needed for.
-        group: the newer group, where the request went by an older one.
+        promised: Ballot that the next ballot of the proposer must exceed.
+        group: Group of the sender, set if the request used an older one.
     """
 
     promised: Ballot | UnsetType = UNSET
@@ -220,7 +225,7 @@
 
 
 class PromiseAnswer(PeerAnswer, frozen=True, kw_only=True):
-    """The promise was made; tells what was accepted so far."""
+    """Confirms a promise and carries what the sender has accepted so far."""
 
     register: RegisterName
     promised: Ballot
@@ -231,15 +236,15 @@
 
 
 class AcceptedAnswer(PeerAnswer, frozen=True, kw_only=True):
-    """The value was accepted."""
+    """Confirms that the value was accepted."""
 
 
 class JoinAnswer(PeerAnswer, frozen=True, kw_only=True):
-    """The incarnation was written down; carries the sender's whole state.
+    """Confirms that the incarnation was recorded and carries the sender's whole state.
 
     Attributes:
-        requested_incarnation: the newest one that the sender ever asked for itself.
-        complete: whether the sender's own state is complete.
+        requested_incarnation: Newest incarnation that the sender ever requested for itself.
+        complete: Whether the sender's own state is complete.
     """
 
     requested_incarnation: int = field(name="asked")
@@ -249,12 +254,12 @@
 
 
 class AdoptAnswer(PeerAnswer, frozen=True, kw_only=True):
-    """The group is adopted, or a newer one was.
+    """Confirms that the sender has adopted the group or a newer one.
 
     Attributes:
-        admitted: whether the sender takes part.
-        registers: the names of all that the sender knows.
-        join_mark: of the sender's process.
+        admitted: Whether the sender takes part in rounds.
+        registers: Names of all registers that the sender knows.
+        join_mark: Join mark of the sender's process.
     """
 
     revision: int
@@ -276,7 +281,7 @@
 
 
 class RegisterRequest(Struct, frozen=True, kw_only=True):
-    """A client's request: a change where `expected_version` is set, else a read."""
+    """Requests a change of a register if `expected_version` is set, and a read otherwise."""
 
     v: int = MESSAGE_VERSION
     register: RegisterName
@@ -285,7 +290,7 @@
 
 
 class RegisterLine(Struct, frozen=True, kw_only=True):
-    """A line of a watch: what is chosen of the register."""
+    """Carries the chosen version and value of a register as one line of a watch."""
 
     v: int = MESSAGE_VERSION
     register: str = ""
@@ -294,7 +299,7 @@
 
 
 class RegisterAnswer(Struct, frozen=True, kw_only=True):
-    """The answer to a client: what is chosen, and whether its change was made."""
+    """Answers a client with the chosen version and value, and whether its change was made."""
 
     v: int = MESSAGE_VERSION
     register: str = ""
@@ -304,14 +309,14 @@
 
 
 class HeartbeatLine(Struct, frozen=True):
-    """A line of a watch on which nothing changed."""
+    """Keeps a watch alive while its register does not change."""
 
     v: int = MESSAGE_VERSION
     kind: str = "alive"
 
 
 class GroupRequest(Struct, frozen=True, kw_only=True):
-    """An operator's request: a change with `members`, a reversal with `undo`, else what the group is."""
+    """Requests a group change (`members`), the reversal of one (`undo`) or, with neither, the group."""
 
     v: int = MESSAGE_VERSION
     revision: Revision | UnsetType = UNSET
@@ -320,17 +325,17 @@
 
 
 class GroupAnswer(Struct, frozen=True, kw_only=True):
-    """The answer to an operator."""
+    """Answers an operator with the current group."""
 
     v: int = MESSAGE_VERSION
     group: GroupMessage = field(name="group_now")
 
 
 def encode(message: Struct) -> bytes:
-    """Return a message as it is sent."""
+    """Return the encoded message."""
     return msgspec.json.encode(message)
 
 
 def encode_line(message: Struct) -> bytes:
-    """Return a message as one line of a stream."""
+    """Return the encoded message with a newline, as one line of a stream."""
     return msgspec.json.encode(message) + b"\n"
--- a/gullmount/consensus/registers.py
+++ b/gullmount/consensus/registers.py
@@ -1,4 +1,4 @@
-"""Registers as their users see them. No I/O, clock or randomness."""
+"""Defines the interface of registers for their users. The module uses no I/O, clock or randomness."""
 
 from __future__ import annotations
 
@@ -9,27 +9,31 @@
 
 @dataclass(frozen=True)
 class RegisterValue:
-    """What is chosen of a register; version 0 where it was never set."""
+    """Holds the chosen version and value of a register. Version 0 means that it was never set."""
 
     version: int
     value: Any
 
 
 class ChangeResult(NamedTuple):
-    """Whether a change was made, and what is chosen now."""
+    """Holds whether a change was made, and the value chosen now."""
 
     changed: bool
     chosen: RegisterValue
 
 
 class Registers(Protocol):
-    """What users of registers need."""
+    """Reads, changes and watches registers."""
 
     async def read(self, register: str) -> RegisterValue:
-        """Return what is chosen; raise NoReplicaError."""
+        """Return the chosen value; raise NoReplicaError."""
 
     async def change(self, register: str, expected_version: int, value: Any) -> tuple[bool, RegisterValue]:
-        """Return whether changed, and what is chosen now; raise NoReplicaError, OutcomeUnknownError."""
+        """Change the register if its version is the expected one.
+
+        Returns whether the change was made, and the value chosen now. Raises NoReplicaError or
+        OutcomeUnknownError.
+        """
 
     def watch(self, register: str) -> AsyncIterator[RegisterValue]:
-        """Yield each value that is seen, for ever."""
+        """Yield each value that is seen, without end."""
--- a/gullmount/consensus/replica.py
+++ b/gullmount/consensus/replica.py
@@ -1,8 +1,11 @@
-"""One replica on a network, made of its parts.
+"""Assembles a replica from its parts and runs it on a network.
 
-`local_acceptor` owns the state, `proposer` runs rounds for clients, `chosen_values` feeds watches,
-`admission` lets the replica take part after a start, `group_changes` completes changes of the group, `server`
-answers requests.
+- `local_acceptor` owns the state.
+- `proposer` runs rounds for clients.
+- `chosen_values` feeds watches.
+- `admission` lets the replica take part after a start.
+- `group_changes` completes changes of the group.
+- `server` answers requests.
 """
 
 from __future__ import annotations
@@ -25,7 +28,7 @@
 
 
 class Replica:
-    """One replica; `run` it in a task."""
+    """Runs one replica. The caller starts `run` in a task."""
 
     def __init__(
         self,
@@ -41,14 +44,14 @@
         """Build the replica.
 
         Args:
-            config: the replica's file.
-            net: where it listens and connects.
-            storage: what outlives the process.
-            random: draws waits and marks.
-            log: takes an event and its fields.
-            bootstrap: whether a blank storage begins a new group.
-            vouched: whether the replica takes part without recovery, as the operator vouches that the storage
-                holds the last that was answered.
+            config: Settings of the replica's configuration file.
+            net: Network on which the replica listens and connects.
+            storage: Storage that outlives the process.
+            random: Source of random delays and marks.
+            log: Called with each event and its fields.
+            bootstrap: Whether a replica with blank storage starts a new group.
+            vouched: Whether the replica takes part without recovery. The operator then guarantees that the
+                storage holds everything that the replica has answered.
         """
         self.config = config
         self.net = net
@@ -64,7 +67,7 @@
         )
 
     async def run(self, started: anyio.Event | None = None) -> None:
-        """Run until cancelled; raise StorageWriteError when the storage fails.
+        """Run until cancelled; raise StorageWriteError if the storage fails.
 
         `started` is set once the replica listens.
         """
