--- a/gullmount/consensus/ballot_round.py
+++ b/gullmount/consensus/ballot_round.py
@@ -1,8 +1,9 @@
-"""One proposal on one register, and the rounds it takes. No I/O, clock or randomness.
+"""Runs the rounds of a proposal on one register, without I/O, clock or randomness.
 
-A round reads what may have been chosen, writes the change, and counts: `request` says what to ask every
-replica, `receive` takes an answer. Two phases as in CASPaxos; where a majority accepted the same ballot, that
-value is chosen already, and a read, or a change that expects another version, ends there.
+- A round has two phases, as in CASPaxos: it reads what may have been chosen, then writes the change.
+- `request` returns the request for every replica, and `receive` counts an answer.
+- If a majority accepted the same ballot, its value is already chosen. In that case a read, or a change that
+  expects another version, ends after the first phase.
 """
 
 from __future__ import annotations
@@ -30,13 +31,13 @@
 
 @dataclass(frozen=True)
 class RegisterChange:
-    """What is to become of a register.
+    """Describes a change or a read of a register.
 
     Attributes:
-        register: its name.
-        expected_version: the change is made over this version only; None for a read.
-        value: what is written.
-        rewrite: whether what is chosen is written once more, unchanged.
+        register: Name of the register.
+        expected_version: Version at which the change is made; at any other it is not. None means a read.
+        value: Value to write.
+        rewrite: Whether the chosen value is written again, unchanged.
     """
 
     register: str
@@ -46,12 +47,13 @@
 
 
 class Phase(Enum):
-    """Where a round is; the first two are names on the wire too."""
+    """State of a round. The first two values are also names on the wire."""
 
     PREPARE = "prepare"
     ACCEPT = "accept"
     CHOSEN = "chosen"
-    SUPERSEDED = "superseded"  # by a higher ballot or a newer group
+    # A higher ballot or a newer group has ended the round.
+    SUPERSEDED = "superseded"
 
 
 TRANSITIONS: dict[Phase, frozenset[Phase]] = {
@@ -63,11 +65,11 @@
 
 
 class Promise(NamedTuple):
-    """One replica's promise.
+    """Holds the promise of one replica.
 
     Attributes:
-        incarnation: in which it was made.
-        register: what the replica had accepted.
+        incarnation: Incarnation of the replica that made the promise.
+        register: Register state that the replica had accepted.
     """
 
     incarnation: int
@@ -75,22 +77,22 @@
 
 
 class BallotRound:
-    """One round; it lives until it is chosen, superseded or given up.
+    """Counts the answers of one round until its value is chosen or it is superseded or abandoned.
 
     Attributes:
-        change: what is to become of the register.
-        ballot: the round's number.
-        group: whose majorities count.
-        newer_group: the one that the round was rejected for.
-        known_incarnations: the acceptor's own table, which grows while the round runs.
-        reported_incarnations: by replica, as answers tell them.
-        phase: where the round is.
-        promises: by replica.
-        accepts: by replica, the incarnation that accepted.
-        current: the register as read in the first phase.
-        result: what is or becomes chosen.
-        includes_change: whether the change itself is part of `result`.
-        highest_ballot: the one that superseded it.
+        change: Change or read that the round carries out.
+        ballot: Ballot of the round.
+        group: Group whose majorities decide the round.
+        newer_group: Group that caused a rejection of the round.
+        known_incarnations: The acceptor's own table, which may grow while the round runs.
+        reported_incarnations: Newest incarnations reported in answers, by replica number.
+        phase: Current phase.
+        promises: Promises by replica number.
+        accepts: Incarnation that accepted the value, by replica number.
+        current: Register state that the first phase read.
+        result: Register state that is chosen or proposed.
+        includes_change: Whether `result` includes the change.
+        highest_ballot: Highest ballot named in a rejection.
     """
 
     def __init__(
@@ -111,7 +113,7 @@
         self.highest_ballot = NO_BALLOT
 
     def request(self) -> PrepareRequest | AcceptRequest:
-        """Return the request of the phase, for each replica."""
+        """Return the request of the current phase, the same for each replica."""
         group = self.group.message() if self.group.revision else None
         register = self.change.register
         if self.phase is Phase.ACCEPT:
@@ -125,9 +127,9 @@
         return PrepareRequest(group=group, ballot=self.ballot, register=register)
 
     def receive(self, replica: int, phase: Phase, answer: PeerAnswer) -> bool:
-        """Take an answer to the request of a phase; return whether the round's phase changed.
+        """Count an answer to the request of a phase; return whether the phase of the round changed.
 
-        Raises InvalidMessageError where the answer carries no proper group.
+        Raises InvalidMessageError if the answer carries an invalid group.
         """
         for reported_replica, incarnation in answer.known_incarnations:
             reported = self.reported_incarnations.get(reported_replica, 0)
@@ -163,7 +165,7 @@
         return True
 
     def _replicas_to_count(self, incarnations: Iterable[tuple[int, int]]) -> list[int]:
-        """Return the replicas whose answer is of the newest incarnation known of them."""
+        """Return the replicas whose answer comes from their newest known incarnation."""
         return [
             replica
             for replica, incarnation in sorted(incarnations)
@@ -187,10 +189,10 @@
         return RegisterState(self.ballot, self.ballot, self.current.version + 1, self.change.value)
 
     def _is_chosen_already(self, registers: dict[int, RegisterState]) -> bool:
-        """Return whether a majority accepted the current value by one ballot, and nothing is to be written.
+        """Return whether a majority accepted the current value with one ballot, and nothing is to be written.
 
-        Only who accepted it itself counts: a replica that recovers takes over values that too few had
-        accepted.
+        Only replicas that accepted the value themselves count, because a recovering replica also copies
+        values that fewer than a majority had accepted.
         """
         if self.includes_change or self.change.rewrite:
             return False
@@ -210,12 +212,12 @@
 
 @dataclass(frozen=True)
 class ProposalOutcome:
-    """How a proposal ended.
+    """Holds the result of a proposal.
 
     Attributes:
-        changed: whether the change was made.
-        register: what is chosen.
-        unknown: whether the change may have been made all the same, and another followed.
+        changed: Whether the chosen value is that of the proposal.
+        register: Chosen register state.
+        unknown: Whether the change may have been made and then overwritten by another.
     """
 
     changed: bool
@@ -224,9 +226,10 @@
 
 
 class Proposal:
-    """One change over as many rounds as it takes.
+    """Carries out one change or read in as many rounds as it needs.
 
-    `mark` tells its value from the same one of another proposal; the last of `rounds` is the one under way.
+    `mark` distinguishes the value from an equal one of another proposal. The last item of `rounds` is the
+    current round.
     """
 
     def __init__(
@@ -238,23 +241,23 @@
 
     @property
     def may_be_accepted(self) -> bool:
-        """Whether a replica may have accepted the change, also in a round that is broken off just now."""
+        """Whether a replica may have accepted the change, even if the current round is cancelled."""
         return any(earlier_round.includes_change for earlier_round in self.rounds)
 
     def start_round(
         self, ballot: Ballot, group: ReplicaGroup, known_incarnations: dict[int, int]
     ) -> BallotRound:
-        """Return the next round; earlier ones that never came to write the change are forgotten."""
+        """Start the next round and drop earlier ones that never proposed the change."""
         self.rounds = [earlier_round for earlier_round in self.rounds if earlier_round.includes_change][:1]
         self.rounds.append(BallotRound(self.change, ballot, group, known_incarnations))
         return self.rounds[-1]
 
     def outcome(self, last_round: BallotRound) -> ProposalOutcome | None:
-        """Return how the proposal ended by its last round; None where another round is needed."""
+        """Return the result of the proposal after its last round, or None if another round is needed."""
         if last_round.phase is not Phase.CHOSEN:
             return None
         register = last_round.result
         changed = register.value is not None and register.value.mark == self.mark
-        # Another's change stands over the version that ours may have made, or stands in its place.
+        # Another change follows the version that this one may have made, or has replaced it.
         overwritten = register.version > (self.change.expected_version or 0) + 1
         return ProposalOutcome(changed, register, self.may_be_accepted and not changed and overwritten)
--- a/gullmount/consensus/chosen_values.py
+++ b/gullmount/consensus/chosen_values.py
@@ -1,4 +1,4 @@
-"""What this replica knows to be chosen, and the watches that get it."""
+"""Keeps the chosen values that this replica knows and sends them to watches."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from gullmount.consensus.messages import ChosenRequest, HeartbeatLine, RegisterLine, encode_line
 from gullmount.consensus.peers import PeerClient
 
-HEARTBEAT_INTERVAL_SECONDS = 5.0  # between lines of a watch on which nothing changes
-REFRESH_INTERVAL_SECONDS = (
-    2.0  # without an update, after which a watched register is read: a notice may be lost
-)
+# Interval between the lines of a watch whose register does not change.
+HEARTBEAT_INTERVAL_SECONDS = 5.0
+# A watched register is read after this time without an update, because a notice may be lost.
+REFRESH_INTERVAL_SECONDS = 2.0
 MIN_WAIT_SECONDS = 0.01
 
 
 class ChosenValue(NamedTuple):
-    """A register's version and its value."""
+    """Holds the chosen version and value of a register."""
 
     version: int
     value: Any
@@ -34,10 +34,10 @@
 
 
 class ChosenValues:
-    """The newest chosen value of each register that came by.
+    """Keeps the newest known chosen value of each register.
 
     Attributes:
-        tasks: where the other replicas are told of a value; `Replica.run` sets it.
+        tasks: Task group that sends notices to the other replicas. `Replica.run` sets it.
     """
 
     tasks: TaskGroup
@@ -50,9 +50,9 @@
         self._changed = anyio.Event()
 
     async def learn(self, register: str, version: int, value: Any) -> bool:
-        """Take note of what is chosen; return whether it is news.
+        """Record a chosen value; return whether it is newer than the known one.
 
-        Raises InvalidMessageError where it is the register of the group and holds none.
+        Raises InvalidMessageError if the register is that of the group and its value is no valid group.
         """
         if register == GROUP and version > 0:
             await self.acceptor.adopt(group_from_register(version, value))
@@ -65,7 +65,7 @@
         return True
 
     async def publish(self, register: str, state: RegisterState) -> None:
-        """Take note of what is chosen, and tell the other replicas where it is news."""
+        """Record a chosen value and, if it is newer than the known one, notify the other replicas."""
         value = state.client_value
         if not await self.learn(register, state.version, value):
             return
@@ -79,16 +79,16 @@
             self.tasks.start_soon(self.peers.ask, replica, notice)
 
     async def watch(self, register: str, read: Callable[[str], Awaitable[object]]) -> AsyncIterator[bytes]:
-        """Yield the register as it is chosen now, then each change that comes in time.
+        """Yield the chosen value of a register, then its changes as encoded lines.
 
-        The last change is never missed. `read` reads the register by a majority; the watch ends where that
-        fails, as another replica may know more.
+        A change that another one follows quickly may be skipped; the last change never is. `read` reads the
+        register from a majority. The watch ends if that fails, because another replica may know more.
         """
         version = UNKNOWN_VALUE.version
         line_sent_at = anyio.current_time()
         while True:
             if anyio.current_time() >= self._refresh_due(register):
-                # One read serves all watches of the register; one that fails is made up for by the next.
+                # One read serves all watches of the register. The next read makes up for one that fails.
                 self._refreshed_at[register] = anyio.current_time()
                 try:
                     await read(register)
--- a/gullmount/consensus/group_changes.py
+++ b/gullmount/consensus/group_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the replica group: begun by an operator, completed by any replica."""
+"""Begins changes of the replica group for an operator and completes those that any replica began."""
 
 from __future__ import annotations
 
@@ -26,15 +26,17 @@
 from gullmount.consensus.proposer import Proposer
 from gullmount.rpc.errors import InvalidFieldError
 
-TAKEOVER_DELAY_SECONDS = 3.0  # before others than who began a change complete it, up to twice that by chance
-RETRY_DELAY_SECONDS = 0.5  # before completing is tried again, up to twice that by chance
+# Minimum delay before a replica that did not begin a change completes it. A random part may double it.
+TAKEOVER_DELAY_SECONDS = 3.0
+# Minimum delay before a replica tries again to complete a change. A random part may double it.
+RETRY_DELAY_SECONDS = 0.5
 
 
 class GroupChanges:
     """Begins and completes changes of the group.
 
     Attributes:
-        begun_revision: of the joint group whose change was begun here; -1 where none was.
+        begun_revision: Revision of the joint group that this replica began last, or -1 if it began none.
     """
 
     def __init__(
@@ -49,12 +51,13 @@
     # An operator's request
 
     async def handle(self, request: GroupRequest) -> GroupAnswer:
-        """Tell what the group is, or begin or revert a change of it.
+        """Return the group, after beginning or reverting a change if the request asks for one.
 
-        Raises GroupChangeError where the change can't be made, NoMajorityError, OutcomeUnknownError,
+        Raises GroupChangeError if the change is invalid, NoMajorityError, OutcomeUnknownError or
         InvalidMessageError.
         """
-        await self.proposer.read(GROUP)  # it may have changed while this replica was cut off
+        # The group may have changed while this replica was disconnected.
+        await self.proposer.read(GROUP)
         group = self.acceptor.state.group
         if isinstance(request.members, tuple) or request.undo is True:
             if not isinstance(request.revision, int):
@@ -73,7 +76,7 @@
         return group.changed(members, join_mark)
 
     async def _join_mark(self, number: int, members: Members) -> str:
-        """Return the mark of the replica that is to join, as it tells it now; raise JoiningReplicaError."""
+        """Ask the joining replica for its current join mark; raise JoiningReplicaError if it sends none."""
         request = JoinMarkRequest(group=self.acceptor.state.group.message())
         answer = await self.peers.ask_at(members[number], request)
         if not isinstance(answer, AdoptAnswer) or not answer.join_mark:
@@ -89,7 +92,7 @@
     # Completing
 
     async def run(self) -> None:
-        """Complete each change that is under way, whoever began it: that replica may have died since."""
+        """Complete each change in progress, whichever replica began it, since that one may have failed."""
         await self.acceptor.admitted.wait()
         while True:
             group, group_changed = self.acceptor.state.group, self.acceptor.group_changed
@@ -104,7 +107,7 @@
                 await anyio.sleep(RETRY_DELAY_SECONDS * (1 + self.random.random()))
 
     async def _complete(self, group: ReplicaGroup) -> bool:
-        """Return whether the change is over."""
+        """Try to complete the change; return whether that succeeded."""
         transition = GroupTransition(group)
         async with anyio.create_task_group() as tasks:
             for replica in sorted(group.addresses):
--- a/gullmount/consensus/local_acceptor.py
+++ b/gullmount/consensus/local_acceptor.py
@@ -1,4 +1,4 @@
-"""The replica's own acceptor: its state, on the storage before any answer leaves."""
+"""Answers requests as the acceptor of the replica, and stores its state before any answer is sent."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 class LocalAcceptor:
-    """Answers requests one after the other, each answer stored before the next request is looked at.
+    """Answers one request at a time and stores the state before it processes the next.
 
     Attributes:
-        state: what is stored.
-        write_lock: held from a change of the state until it is stored.
-        admitted: set once the state is complete, so that the replica takes part.
-        group_changed: set and replaced whenever another group is adopted.
-        highest_counters: by register, the highest ballot counter heard of.
-        failed: whether the storage failed; nothing is answered any more.
+        state: State of the acceptor.
+        write_lock: Lock held from a change of the state until it is stored.
+        admitted: Event set once the state is complete and the replica takes part.
+        group_changed: Event set, and replaced by a new one, each time another group is adopted.
+        highest_counters: Highest ballot counter seen, by register.
+        failed: Whether the storage failed. A failed replica answers nothing any more.
     """
 
     def __init__(self, config: ReplicaConfig, storage: Storage, log: Log) -> None:
@@ -56,7 +56,7 @@
 
     @property
     def number(self) -> int:
-        """The replica's own number."""
+        """The number of this replica."""
         return self.config.number
 
     @property
@@ -65,9 +65,9 @@
         return self.state.group.others(self.number)
 
     def load(self, bootstrap: bool) -> None:
-        """Take over what an earlier process stored; with `bootstrap` a blank storage begins a new group.
+        """Load what an earlier process stored; with `bootstrap` a blank storage starts a new group.
 
-        What is corrupted is set aside. Raises StorageWriteError.
+        A corrupted storage is set aside. Raises StorageWriteError.
         """
         rows = None
         try:
@@ -90,7 +90,7 @@
         )
 
     async def save(self) -> None:
-        """Store what is unsaved; the caller holds `write_lock`.
+        """Store the unsaved rows; the caller holds `write_lock`.
 
         Raises StorageWriteError, which ends the replica.
         """
@@ -107,7 +107,10 @@
             raise
 
     async def answer(self, sender: int, request: PeerRequest) -> PeerAnswer:
-        """Return the answer to a request, once it is stored; raise InvalidMessageError, StorageWriteError."""
+        """Return the answer to a request once the state is stored.
+
+        Raises InvalidMessageError or StorageWriteError.
+        """
         async with self.write_lock:
             previous_group = self.state.group
             answer = self._process(sender, request)
@@ -137,7 +140,7 @@
         self.highest_counters[register] = max(self.highest_counters[register], counter)
 
     async def adopt(self, group: ReplicaGroup) -> None:
-        """Adopt a newer group, on the storage; raise StorageWriteError."""
+        """Adopt a newer group and store it; raise StorageWriteError."""
         async with self.write_lock:
             previous_group = self.state.group
             if self.state.adopt_group(group):
@@ -145,7 +148,7 @@
         self.note_group(previous_group)
 
     def note_group(self, previous_group: ReplicaGroup) -> None:
-        """Wake whoever waits for another group, if there is one since `before`."""
+        """Log the group and wake waiting tasks if the group is newer than `previous_group`."""
         group = self.state.group
         if group.revision <= previous_group.revision:
             return
--- a/gullmount/consensus/membership.py
+++ b/gullmount/consensus/membership.py
@@ -1,29 +1,39 @@
-"""Which replicas hold the registers, and how that changes. No I/O, clock or randomness.
+"""Defines the group of replicas that holds the registers, and its changes, without I/O, clock or randomness.
 
-A group is the value of a register of its own (`GROUP`); the register's version is the group's revision, and
-revision 0 is what the configuration files name. A change goes through a joint group that names both sets,
-`current` and `next`: while it stands a round needs a majority of each, as in Raft's joint consensus (Ongaro
-and Ousterhout 2014, section 6), carried over to registers. Messages carry their sender's group; a replica
-stores a newer one before it answers, and answers a message that goes by an older one with its own.
+Groups:
 
-Neither set alone may follow the other directly: a majority of the old and one of the new need not meet. So
-`next` takes over only after two things are so, in this order:
+- A group is the value of a register of its own (`GROUP`). The version of that register is the group's
+  revision. Revision 0 is the group of the configuration files.
+- A change goes through a joint group with two member sets, `current` and `next`. A round in a joint group
+  needs a majority of each set, as in Raft's joint consensus (Ongaro and Ousterhout 2014, section 6), applied
+  to registers.
+- Messages carry the group of their sender. A replica stores a newer group before it answers, and answers a
+  message with an older group with its own group.
+
+A group of the old members must not be replaced directly by a group of the new ones, because a majority of the
+old set and one of the new set may have no replica in common. `next` takes over only after two conditions
+hold, in this order:
 
 1. A majority of each set has stored the joint group (`GroupTransition`). From then on no round of the old set
-   alone can end, as any majority of it meets a replica that rejects it.
-2. Each register that these replicas know has been written once more, unchanged, by a round of the joint
-   group: whatever was chosen by the old set alone stands at a majority of the new.
-
-Then the register of the group is changed from the joint value to `next` alone, over the joint revision: of
-all who complete the change, and of those who revert it, one gets through. Whoever finds a joint group can
-complete it: what is to be done stands in the register. To revert is to write `current` alone; nothing was
-ever chosen without it.
-
-A replica that joins has promised nothing yet, so its blank state is complete and takes part at once: if it
-had to recover from the others first, and one of these restarted meanwhile, each would wait for the other. But
-a storage that is lost later must not pass for new. So each process draws a join mark when it starts, kept in
-memory alone; who begins the change asks for it and writes it into the group; only the process that finds its
-own mark there is new. Numbers are never used twice (`highest_number`).
+   alone can succeed, because any majority of that set includes a replica that rejects it.
+2. Each register that these replicas know has been written again, unchanged, by a round of the joint group.
+   Every value chosen by the old set alone is then stored by a majority of the new set.
+
+Completing and reverting a change:
+
+- To complete a change, a replica changes the register of the group from the joint value to `next` alone. To
+  revert it, it writes `current` alone. Nothing was ever chosen without a majority of `current`.
+- Both writes expect the joint revision, so only one of all attempts to complete or revert succeeds.
+- Any replica that finds a joint group can complete the change, because the register holds all that is needed.
+
+Replicas that join:
+
+- A joining replica has promised nothing yet, so its blank state is complete and it takes part at once. If it
+  had to recover from the others first, and one of them restarted meanwhile, each would wait for the other.
+- A storage that is lost later must not be mistaken for a new one. So each process draws a join mark at its
+  start and keeps it in memory only. The replica that begins the change asks for the mark and writes it into
+  the group. Only the process that finds its own mark there is new.
+- Replica numbers are never reused (`highest_number`).
 """
 
 from __future__ import annotations
@@ -49,36 +59,40 @@
 from gullmount.consensus.messages import GroupMessage, GroupValue
 from gullmount.rpc.messages import convert
 
-GROUP = "group"  # the register that holds it
-MAX_MEMBERS = 5  # of one set: five bear the loss of two; more only cost
-MIN_MEMBERS = 3  # fewer bear no loss
+# Name of the register that holds the group.
+GROUP = "group"
+# Size of one member set. Five replicas tolerate the loss of two; more only add cost.
+MAX_MEMBERS = 5
+# Fewer replicas tolerate no loss.
+MIN_MEMBERS = 3
 
-Members = dict[int, str]  # addresses by replica number
+# Addresses by replica number.
+Members = dict[int, str]
 
 
 def majority(count: int) -> int:
-    """Return how many of `count` replicas are a majority."""
+    """Return the size of a majority of `count` replicas."""
     return count // 2 + 1
 
 
 def answers_to_recover(count: int) -> int:
-    """Return how many others must tell their state to one of `count` replicas that starts.
+    """Return how many others must send their state to a starting replica in a set of `count` replicas.
 
-    So many meet every majority that the replica was in.
+    That many replicas intersect every majority that included the starting replica.
     """
     return count - majority(count) + 1
 
 
 @dataclass(frozen=True)
 class ReplicaGroup:
-    """Which replicas hold the registers.
+    """Holds the replicas of a group.
 
     Attributes:
-        revision: grows by one with each change; 0 is what the configuration files name.
-        current: the members now.
-        next: the members after the change that is under way; empty without one.
-        highest_number: the highest number that was ever a member's.
-        join_mark: of the process that joins by the change under way.
+        revision: Number that grows by one with each change. 0 is the group of the configuration files.
+        current: Current members.
+        next: Members after the change in progress. Empty if there is none.
+        highest_number: Highest replica number that a member ever had.
+        join_mark: Join mark of the process that joins with the change in progress.
     """
 
     revision: int
@@ -89,17 +103,17 @@
 
     @property
     def member_sets(self) -> list[Members]:
-        """The sets of which a majority each is needed."""
+        """The member sets that must each contribute a majority."""
         return [members for members in (self.current, self.next) if members]
 
     @property
     def addresses(self) -> Members:
-        """The addresses of all members of either set."""
+        """The addresses of the members of both sets, by replica number."""
         return self.current | self.next
 
     @property
     def highest_used(self) -> int:
-        """The highest number that was ever a member's, or is to be."""
+        """The highest replica number that a past, current or next member has."""
         return max([self.highest_number, *self.addresses])
 
     def others(self, own_number: int) -> list[int]:
@@ -107,15 +121,15 @@
         return sorted(number for number in self.addresses if number != own_number)
 
     def has_majority(self, replicas: Collection[int]) -> bool:
-        """Return whether these are a majority of each set."""
+        """Return whether the replicas include a majority of each set."""
         return all(
             len(set(members) & set(replicas)) >= majority(len(members)) for members in self.member_sets
         )
 
     def meets_every_majority(self, own_number: int, others: Collection[int]) -> bool:
-        """Return whether these others meet every majority that ever counted `me`.
+        """Return whether the other replicas intersect every majority that ever included `me`.
 
-        Never if it is no member.
+        Returns False if that replica is no member.
         """
         own_sets = [members for members in self.member_sets if own_number in members]
         return bool(own_sets) and all(
@@ -124,11 +138,11 @@
         )
 
     def admits_as_new(self, number: int, mark: str) -> bool:
-        """Return whether the change under way brings this process into the group for the first time."""
+        """Return whether the change in progress adds this process to the group for the first time."""
         return number in self.next and number not in self.current and mark != "" and mark == self.join_mark
 
     def register_value(self) -> dict[str, Any]:
-        """Return what is written into the register of the group."""
+        """Return the value to write to the register of the group."""
         value = GroupValue(
             tuple(sorted(self.current.items())),
             tuple(sorted(self.next.items())),
@@ -139,7 +153,7 @@
         return encoded
 
     def message(self) -> GroupMessage:
-        """Return the group as messages carry it."""
+        """Return the encoded form of the group for messages."""
         return GroupMessage(
             self.revision,
             tuple(sorted(self.current.items())),
@@ -148,12 +162,12 @@
             self.join_mark,
         )
 
-    # Changes: what is to be written over this revision
+    # Successors of this group
 
     def joining_member(self, members: Members) -> int | None:
-        """Return who would join by a change to these members; raise GroupChangeError where it can't be made.
+        """Return the number of the replica that a change to these members adds, or None if it adds none.
 
-        One replica joins, leaves, or takes another's place.
+        A change adds, removes or replaces one replica. Raises GroupChangeError if the change is invalid.
         """
         if self.next:
             raise ChangeInProgressError(", ".join(map(str, sorted(self.next))))
@@ -172,26 +186,26 @@
         return min(joining, default=None)
 
     def changed(self, members: Members, join_mark: str) -> ReplicaGroup:
-        """Return the joint group on the way to these members; raise GroupChangeError.
+        """Return the joint group for a change to these members; raise GroupChangeError if it is invalid.
 
-        `join_mark` is that of the process which joins, empty where none does.
+        `join_mark` is the mark of the joining process, or empty if none joins.
         """
         self.joining_member(members)
         return ReplicaGroup(self.revision + 1, self.current, dict(members), self.highest_number, join_mark)
 
     def completed(self) -> ReplicaGroup:
-        """Return the group once the change under way is over."""
+        """Return the group after the change in progress is completed."""
         return ReplicaGroup(self.revision + 1, self.next, {}, self.highest_used)
 
     def reverted(self) -> ReplicaGroup:
-        """Return the group as it was before the change under way; raise GroupChangeError without one."""
+        """Return the group after the change in progress is reverted; raise GroupChangeError without one."""
         if not self.next:
             raise NoChangeInProgressError
         return ReplicaGroup(self.revision + 1, self.current, {}, self.highest_used)
 
 
 def members_from(pairs: messages.Members) -> Members:
-    """Return the members of a message; raise InvalidGroupError where there are too many."""
+    """Return the members in a message; raise InvalidGroupError if there are too many."""
     members = dict(pairs)
     if len(members) > MAX_MEMBERS:
         raise TooManyMembersError
@@ -199,7 +213,7 @@
 
 
 def group_from(message: GroupMessage) -> ReplicaGroup:
-    """Return the group of a message; raise InvalidGroupError where it has too few or too many members."""
+    """Return the group in a message; raise InvalidGroupError if it has too few or too many members."""
     group = ReplicaGroup(
         message.revision,
         members_from(message.current),
@@ -213,7 +227,7 @@
 
 
 def group_from_register(revision: int, value: Any) -> ReplicaGroup:
-    """Return the group that its register holds; raise InvalidMessageError where it holds none."""
+    """Return the group that its register holds; raise InvalidMessageError if the value is no valid group."""
     group_value = convert(value, GroupValue)
     return group_from(
         GroupMessage(
@@ -223,7 +237,7 @@
 
 
 class GroupTransition:
-    """A joint group on its way to `next`: who has adopted it, and which registers they know."""
+    """Tracks which replicas have adopted a joint group, and which registers they know."""
 
     def __init__(self, group: ReplicaGroup) -> None:
         self.group = group
@@ -231,14 +245,14 @@
         self.registers: set[str] = {GROUP}
 
     def receive(self, replica: int, revision: int, admitted: bool, registers: Collection[str]) -> None:
-        """Take a replica's answer to having been told the group.
+        """Count a replica's answer to the request to adopt the group.
 
-        One that isn't admitted doesn't count: it may not know what it has accepted.
+        A replica that is not admitted does not count, because it may not know what it has accepted.
         """
         if admitted and revision == self.group.revision:
             self.adopted_by.add(replica)
             self.registers |= set(registers)
 
     def registers_to_rewrite(self) -> list[str] | None:
-        """Return the registers to be written once more; None while too few have adopted the group."""
+        """Return the registers to write again, or None while too few replicas have adopted the group."""
         return sorted(self.registers) if self.group.has_majority(self.adopted_by) else None
--- a/gullmount/consensus/proposer.py
+++ b/gullmount/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""The replica's own proposer: changes and reads of registers on behalf of clients."""
+"""Changes and reads registers for clients, as the proposer of the replica."""
 
 from __future__ import annotations
 
@@ -24,8 +24,10 @@
 from gullmount.consensus.peers import PeerClient
 from gullmount.rpc import InvalidMessageError
 
-MAX_WAITING_PROPOSALS = 256  # proposals of one register; more are rejected at once
-INITIAL_BACKOFF_SECONDS = 0.01  # most of a wait after a round that was superseded; doubles each time
+# Limits the queue of each register. Further proposals are rejected immediately.
+MAX_WAITING_PROPOSALS = 256
+# Upper bound of the random delay after the first superseded round. It doubles after each further one.
+INITIAL_BACKOFF_SECONDS = 0.01
 MAX_BACKOFF_SECONDS = 0.2
 MARK_BITS = 62
 
@@ -51,16 +53,16 @@
         self._proposal_locks: dict[str, anyio.Lock] = defaultdict(anyio.Lock)
 
     async def read(self, register: str) -> RegisterState:
-        """Return what is chosen; raise NoMajorityError."""
+        """Return the chosen register state; raise NoMajorityError."""
         return (await self.propose(register, None, None)).register
 
     async def propose(
         self, register: str, expected_version: int | None, value: Any, rewrite: bool = False
     ) -> ProposalOutcome:
-        """Change the register if its version is the expected one; without one read it.
+        """Change the register if its version is the expected one, or read it if no version is given.
 
-        With `rewrite` what is chosen is written once more. Raises NoMajorityError where nothing was changed,
-        OutcomeUnknownError where that can't be told, StorageWriteError.
+        With `rewrite` the chosen value is written again. Raises NoMajorityError if nothing was changed,
+        OutcomeUnknownError if the change may have been made, and StorageWriteError if the storage fails.
         """
         proposal_lock = self._proposal_locks[register]
         if proposal_lock.statistics().tasks_waiting >= MAX_WAITING_PROPOSALS:
@@ -87,7 +89,7 @@
             backoff = min(MAX_BACKOFF_SECONDS, backoff * 2)
 
     async def _run_round(self, proposal: Proposal) -> BallotRound:
-        """Run one round to its end, or until too few answer."""
+        """Run one round until it ends or no replica is left to answer."""
         state = self.acceptor.state
         counters = self.acceptor.highest_counters
         register = proposal.change.register
@@ -105,9 +107,9 @@
         return ballot_round
 
     async def _run_phase(self, ballot_round: BallotRound, phase: Phase) -> None:
-        """Ask all until the phase is over or none is left to answer.
+        """Send the request of a phase to all replicas until the phase ends or none is left to answer.
 
-        The own acceptor comes first: a ballot that is on no storage could be drawn again.
+        The replica's own acceptor answers first, because a ballot that is not stored could be used again.
         """
         request = ballot_round.request()
         own_number = self.acceptor.number
--- a/tests/consensus/test_acceptor.py
+++ b/tests/consensus/test_acceptor.py
@@ -1,4 +1,4 @@
-"""An acceptor's state."""
+"""Tests the state of an acceptor."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def test_only_the_process_with_the_join_mark_of_the_group_is_admitted_as_new() -> None:
-    """Guards against a disk that was lost or put back after a replica joined: it must not pass for new."""
+    """A replica whose disk was lost or restored after it joined must not be treated as new."""
     joint = group_from_register(
         1, ReplicaGroup(0, MEMBERS, {}).changed(FOUR_FOR_ONE, "mark").register_value()
     )
--- a/tests/consensus/test_ballot_round.py
+++ b/tests/consensus/test_ballot_round.py
@@ -1,4 +1,4 @@
-"""Rounds and proposals, step by step."""
+"""Tests rounds and proposals step by step."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_answer_of_a_superseded_incarnation_is_not_counted() -> None:
-    """Guards against a replica that lost its storage after it promised: the promise is not there any more."""
+    """A replica that loses its storage after a promise forgets the promise, so it must not be counted."""
     states = {number: AcceptorState(number, THREE) for number in MEMBERS}
     change = RegisterChange("job", 0, MarkedValue("mark", "a"))
     ballot_round = BallotRound(change, Ballot(1, 1, 0), THREE, states[1].known_incarnations)
@@ -20,14 +20,14 @@
     states[3].answer_join(2, 1)
     later_answer = states[3].prepare("job", Ballot(2, 1, 0))
     assert not ballot_round.receive(1, Phase.PREPARE, answers[1])
-    # Of another phase, but it tells of replica 2's new incarnation.
+    # The answer belongs to another phase, but it reports the new incarnation of replica 2.
     assert not ballot_round.receive(3, Phase.ACCEPT, later_answer)
     assert not ballot_round.receive(2, Phase.PREPARE, answers[2])
     assert ballot_round.receive(3, Phase.PREPARE, answers[3])
 
 
 def test_proposal_cancelled_in_the_accept_phase_may_be_accepted() -> None:
-    """Guards against "nothing was changed" where the time was up in the second phase."""
+    """A timeout in the second phase must not be reported as "nothing was changed"."""
     states = {number: AcceptorState(number, THREE) for number in MEMBERS}
     proposal = Proposal("job", 0, "a", "mark")
     ballot_round = proposal.start_round(Ballot(1, 1, 0), THREE, states[1].known_incarnations)
--- a/tests/consensus/test_membership.py
+++ b/tests/consensus/test_membership.py
@@ -1,4 +1,4 @@
-"""Groups and their changes, without replicas."""
+"""Tests groups and their changes without running replicas."""
 
 from __future__ import annotations
 
@@ -52,8 +52,10 @@
 def test_registers_are_rewritten_only_after_a_majority_of_each_set_adopted_the_group() -> None:
     transition = GroupTransition(ReplicaGroup(3, MEMBERS, FOUR_FOR_ONE))
     transition.receive(2, 3, True, ["a"])
-    transition.receive(4, 3, False, ["b"])  # its state may not be complete
-    transition.receive(1, 2, True, ["c"])  # it goes by an older group
+    # The state of replica 4 may be incomplete.
+    transition.receive(4, 3, False, ["b"])
+    # Replica 1 uses an older group.
+    transition.receive(1, 2, True, ["c"])
     assert transition.registers_to_rewrite() is None
     transition.receive(3, 3, True, ["d"])
     assert transition.registers_to_rewrite() == ["a", "d", GROUP]
--- a/tests/consensus/test_messages.py
+++ b/tests/consensus/test_messages.py
@@ -1,4 +1,4 @@
-"""The bytes of messages are those that version 883dea8 sent."""
+"""Tests that messages keep the encoding recorded from version 883dea8."""
 
 from __future__ import annotations
 
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -1,4 +1,4 @@
-"""A group of replicas in virtual time: changes, deaths, storages."""
+"""Tests a group of replicas in virtual time through changes, kills and storage faults."""
 
 from __future__ import annotations
 
@@ -86,7 +86,8 @@
         client = group.client()
         older_rows = dict(group.storages[1].rows)
         await client.change("job", 0, "a")
-        group.kill(1, 3)  # replica 2 and, until now, 1 or 3 know of it
+        # Replica 2 knows the change, and so did replica 1 or 3 until now.
+        group.kill(1, 3)
         await anyio.sleep(1)
         group.storages[1] = MemoryStorage()
         if disk == "older":
@@ -120,7 +121,10 @@
 @pytest.mark.parametrize("before", [True, False])
 @pytest.mark.parametrize("number", [1, 2])
 def test_history_has_one_order_when_a_replica_is_killed_at_any_write(number: int, before: bool) -> None:
-    """The proposer and an acceptor, at every write of two changes; then its disk as it is, or blank."""
+    """Kills the proposer or an acceptor at each write of two changes, then restarts it.
+
+    The replica restarts with its disk as it was, or with a blank one.
+    """
 
     async def script(group: ReplicaCluster, write_number: int, blank: bool) -> list[dict[str, Any]]:
         record, client = Record(), group.client()
--- a/tests/support/replicas.py
+++ b/tests/support/replicas.py
@@ -1,4 +1,4 @@
-"""Replicas in memory and in virtual time, whose processes and storages tests do things to."""
+"""Runs replicas in memory and in virtual time, and lets tests kill them and replace their storage."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ReplicaCluster:
-    """Three replicas in memory whose tasks can be killed; storages outlive them."""
+    """Runs three replicas in memory. Their tasks can be killed, and their storages outlive them."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self.tasks = tasks
@@ -76,7 +76,7 @@
 
 
 def run_replica_cluster(script: Callable[[ReplicaCluster], Awaitable[Any]], seed: int = 1) -> Any:
-    """Play a script on a new group of three replicas in virtual time; return what it returns."""
+    """Run a script on a new group of three replicas in virtual time; return the result of the script."""
 
     async def run_script() -> Any:
         async with anyio.create_task_group() as tasks:
@@ -91,12 +91,12 @@
 
 
 def group_client(cluster: ReplicaCluster) -> ReplicaGroupClient:
-    """An operator, who knows all four addresses."""
+    """Return an operator's client that knows all four addresses."""
     return ReplicaGroupClient(cluster.host_network("10.0.9.8"), list(WITH_FOUR.values()), 3.0)
 
 
 class KillingStorage(MemoryStorage):
-    """Ends its replica at one write: before it is on the disk, or after, before anything was answered."""
+    """Kills its replica at one write, before or after the rows are stored, but before any answer."""
 
     def __init__(
         self, rows: dict[str, bytes], fatal_write: int, kill_before_write: bool, kill: Callable[[], None]
