--- a/tests/consensus/test_group_changes.py
+++ b/tests/consensus/test_group_changes.py
@@ -189,7 +189,7 @@
         last = await ask("d", None)
         await ask("e", last.version)
         assert (await ask("f", None)).value == "e"
-        return record.events, store.left
+        return record.events, store.writes_left
 
     finished = 0
     for at in range(1, 14):
