--- a/gullmount/consensus/ballot_round.py
+++ b/gullmount/consensus/ballot_round.py
@@ -247,7 +247,7 @@
     def start_round(
         self, ballot: Ballot, group: ReplicaGroup, known_incarnations: dict[int, int]
     ) -> BallotRound:
-        """Start the next round and drop earlier ones that never proposed the change."""
+        """Start the next round; keep of the earlier ones only the first that proposed the change."""
         self.rounds = [earlier_round for earlier_round in self.rounds if earlier_round.includes_change][:1]
         self.rounds.append(BallotRound(self.change, ballot, group, known_incarnations))
         return self.rounds[-1]
--- a/gullmount/consensus/group_changes.py
+++ b/gullmount/consensus/group_changes.py
@@ -48,7 +48,7 @@
         self.random = random
         self.begun_revision = -1
 
-    # An operator's request
+    # Handling an operator's request
 
     async def handle(self, request: GroupRequest) -> GroupAnswer:
         """Return the group, after beginning or reverting a change if the request asks for one.
@@ -89,7 +89,7 @@
         if not outcome.changed:
             raise ConcurrentChangeError(outcome.register.version)
 
-    # Completing
+    # Completing a change
 
     async def run(self) -> None:
         """Complete each change in progress, whichever replica began it, since that one may have failed."""
--- a/gullmount/consensus/membership.py
+++ b/gullmount/consensus/membership.py
@@ -7,8 +7,8 @@
 - A change goes through a joint group with two member sets, `current` and `next`. A round in a joint group
   needs a majority of each set, as in Raft's joint consensus (Ongaro and Ousterhout 2014, section 6), applied
   to registers.
-- Messages carry the group of their sender. A replica stores a newer group before it answers, and answers a
-  message with an older group with its own group.
+- Messages carry the group of their sender. A replica stores a newer group before it answers. It
+  replies to a message that carries an older group with its own.
 
 A group of the old members must not be replaced directly by a group of the new ones, because a majority of the
 old set and one of the new set may have no replica in common. `next` takes over only after two conditions
