--- a/gullmount/consensus/acceptor.py
+++ b/gullmount/consensus/acceptor.py
@@ -117,7 +117,7 @@
         self.unsaved_rows[f"slot/{register}"] = self.registers[register].message(register)
 
     def note_incarnation(self, replica: int, incarnation: int) -> None:
-        """Record a replica's incarnation if it is newer than the known one."""
+        """Record a replica's incarnation, and add its row to the unsaved rows, if it is newer."""
         if incarnation > self.known_incarnations.get(replica, 0):
             self.known_incarnations[replica] = incarnation
             self.unsaved_rows[f"life/{replica}"] = incarnation
@@ -211,7 +211,7 @@
         return tuple(sorted(self.known_incarnations.items()))
 
     def rejected(self, promised: Ballot) -> RejectedAnswer:
-        """Return the answer to a ballot below the promised one."""
+        """Return the rejection of a ballot that is too low."""
         return RejectedAnswer(
             incarnation=self.incarnation,
             known_incarnations=self.incarnation_pairs(),
@@ -249,7 +249,7 @@
             incarnation=self.incarnation, known_incarnations=self.incarnation_pairs(), ok=True
         )
 
-    # Other replicas' starts
+    # Starts of other replicas
 
     def answer_join(self, replica: int, incarnation: int) -> PeerAnswer:
         """Record a new incarnation of another replica and return the whole state, or reject an old number."""
--- a/gullmount/consensus/messages.py
+++ b/gullmount/consensus/messages.py
@@ -14,8 +14,8 @@
 
 from gullmount.rpc.messages import MESSAGE_VERSION
 
-# Limits the counter of a ballot and the version of a register.
-# At 1000 rounds per second it takes 35000 years to reach.
+# Limits the counter of a ballot and the version of a register. At 1000 rounds per second it takes 35000
+# years to reach.
 MAX_COUNTER = 1 << 50
 # Length in characters.
 MAX_REGISTER_NAME = 100
