--- a/gullmount/consensus/acceptor.py
+++ b/gullmount/consensus/acceptor.py
@@ -18,7 +18,7 @@
 from gullmount.consensus.errors import ForeignStorageError, RegisterLimitError, RegisterNameError
 from gullmount.consensus.membership import ReplicaGroup, group_from
 from gullmount.consensus.messages import (
-    MAX_REGISTER_NAME,
+    MAX_REGISTER_NAME_LENGTH,
     NO_BALLOT,
     AcceptedAnswer,
     AdoptAnswer,
@@ -201,8 +201,8 @@
         if register not in self.registers:
             if len(self.registers) >= MAX_REGISTERS:
                 raise RegisterLimitError(MAX_REGISTERS)
-            if not 0 < len(register) <= MAX_REGISTER_NAME:
-                raise RegisterNameError(MAX_REGISTER_NAME)
+            if not 0 < len(register) <= MAX_REGISTER_NAME_LENGTH:
+                raise RegisterNameError(MAX_REGISTER_NAME_LENGTH)
             self.registers[register] = RegisterState()
         return self.registers[register]
 
--- a/gullmount/consensus/messages.py
+++ b/gullmount/consensus/messages.py
@@ -18,14 +18,14 @@
 # years to reach.
 MAX_COUNTER = 1 << 50
 # Length in characters.
-MAX_REGISTER_NAME = 100
+MAX_REGISTER_NAME_LENGTH = 100
 MAX_REPLICA_NUMBER = 1000
 # Lengths in characters.
 MAX_ADDRESS_LENGTH = 300
 MAX_JOIN_MARK_LENGTH = 32
 
 Counter = Annotated[int, Meta(ge=0, le=MAX_COUNTER)]
-RegisterName = Annotated[str, Meta(min_length=1, max_length=MAX_REGISTER_NAME)]
+RegisterName = Annotated[str, Meta(min_length=1, max_length=MAX_REGISTER_NAME_LENGTH)]
 Revision = Annotated[int, Meta(ge=0)]
 Member = tuple[
     Annotated[int, Meta(ge=1, le=MAX_REPLICA_NUMBER)], Annotated[str, Meta(max_length=MAX_ADDRESS_LENGTH)]
