--- a/gullmount/consensus/proposer.py
+++ b/gullmount/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""The replica's own proposer: changes and reads of registers on behalf of clients."""
+"""Changes and reads registers for clients, as the proposer of the replica."""
 
 from __future__ import annotations
 
@@ -24,8 +24,10 @@
 from gullmount.consensus.peers import PeerClient
 from gullmount.rpc import InvalidMessageError
 
-MAX_WAITING = 256  # proposals of one register; more are rejected at once
-BACKOFF_SECONDS = 0.01  # most of a wait after a round that was superseded; doubles each time
+# Limits the queue of each register. Further proposals are rejected immediately.
+MAX_WAITING_PROPOSALS = 256
+# Upper bound of the random delay after the first superseded round. It doubles after each further one.
+INITIAL_BACKOFF_SECONDS = 0.01
 MAX_BACKOFF_SECONDS = 0.2
 MARK_BITS = 62
 
@@ -48,34 +50,34 @@
         self.chosen_values = chosen_values
         self.random = random
         self.log = log
-        self._turns: dict[str, anyio.Lock] = defaultdict(anyio.Lock)
+        self._proposal_locks: dict[str, anyio.Lock] = defaultdict(anyio.Lock)
 
     async def read(self, register: str) -> RegisterState:
-        """Return what is chosen; raise NoMajorityError."""
+        """Return the chosen register state; raise NoMajorityError."""
         return (await self.propose(register, None, None)).register
 
     async def propose(
         self, register: str, expected_version: int | None, value: Any, rewrite: bool = False
     ) -> ProposalOutcome:
-        """Change the register if its version is the expected one; without one read it.
+        """Change the register if its version is the expected one, or read it if no version is given.
 
-        With `rewrite` what is chosen is written once more. Raises NoMajorityError where nothing was changed,
-        OutcomeUnknownError where that can't be told, StorageWriteError.
+        With `rewrite` the chosen value is written again. Raises NoMajorityError if nothing was changed,
+        OutcomeUnknownError if the change may have been made, and StorageWriteError if the storage fails.
         """
-        turn = self._turns[register]
-        if turn.statistics().tasks_waiting >= MAX_WAITING:
+        proposal_lock = self._proposal_locks[register]
+        if proposal_lock.statistics().tasks_waiting >= MAX_WAITING_PROPOSALS:
             raise QueueFullError
         mark = f"{self.random.getrandbits(MARK_BITS):x}"
         proposal = Proposal(register, expected_version, value, mark, rewrite)
         with anyio.move_on_after(self.config.settle_within):
-            async with turn:
+            async with proposal_lock:
                 return await self._run_rounds(proposal)
         if proposal.may_be_accepted:
             raise ProposalTimeoutError
         raise MajorityTimeoutError
 
     async def _run_rounds(self, proposal: Proposal) -> ProposalOutcome:
-        backoff = BACKOFF_SECONDS
+        backoff = INITIAL_BACKOFF_SECONDS
         while True:
             outcome = proposal.outcome(await self._run_round(proposal))
             if outcome is not None:
@@ -87,7 +89,7 @@
             backoff = min(MAX_BACKOFF_SECONDS, backoff * 2)
 
     async def _run_round(self, proposal: Proposal) -> BallotRound:
-        """Run one round to its end, or until too few answer."""
+        """Run one round until it ends or no replica is left to answer."""
         state = self.acceptor.state
         counters = self.acceptor.highest_counters
         register = proposal.change.register
@@ -105,16 +107,16 @@
         return ballot_round
 
     async def _run_phase(self, ballot_round: BallotRound, phase: Phase) -> None:
-        """Ask all until the phase is over or none is left to answer.
+        """Send the request of a phase to all replicas until the phase ends or none is left to answer.
 
-        The own acceptor comes first: a ballot that is on no storage could be drawn again.
+        The replica's own acceptor answers first, because a ballot that is not stored could be used again.
         """
         request = ballot_round.request()
-        me = self.acceptor.number
-        if ballot_round.receive(me, phase, await self.acceptor.answer(me, request)):
+        own_number = self.acceptor.number
+        if ballot_round.receive(own_number, phase, await self.acceptor.answer(own_number, request)):
             return
         async with anyio.create_task_group() as tasks:
-            for replica in ballot_round.group.others(me):
+            for replica in ballot_round.group.others(own_number):
                 tasks.start_soon(self._ask, ballot_round, phase, request, replica, tasks.cancel_scope)
 
     async def _ask(
--- a/tests/consensus/test_group_changes.py
+++ b/tests/consensus/test_group_changes.py
@@ -28,29 +28,29 @@
     FOUR_FOR_ONE,
     MEMBERS,
     KillingStorage,
-    ReplicaScene,
+    ReplicaCluster,
     group_client,
-    play_replicas,
+    run_replica_cluster,
 )
 
 
 def test_group_replaces_a_replica_and_grows_to_five() -> None:
-    async def scene(group: ReplicaScene) -> None:
+    async def scene(group: ReplicaCluster) -> None:
         client, operator = group.client(), group_client(group)
         await client.change("job", 0, "a")
-        group.begin(4, 5)
+        group.start(4, 5)
         await anyio.sleep(0.5)
         await operator.change(lambda now: FOUR_FOR_ONE)
         assert (await operator.wait_until_settled()).current == FOUR_FOR_ONE
         group.kill(1, 3)
         await anyio.sleep(0.5)
-        group.begin(3)
+        group.start(3)
         await anyio.sleep(2)
         client.addresses = list(FOUR_FOR_ONE.values())
         assert await client.change("job", 1, "b") == (True, RegisterValue(2, "b"))
         await operator.change(lambda now: {**now, 5: "10.0.0.5:7299"})
         await operator.wait_until_settled()
-        group.begin(6)
+        group.start(6)
         await anyio.sleep(1)
         await operator.change(lambda now: {**now, 6: "10.0.0.6:7299"})
         assert sorted((await operator.wait_until_settled()).current) == [2, 3, 4, 5, 6]
@@ -60,15 +60,15 @@
         client.addresses = [f"10.0.0.{one}:7299" for one in (4, 5, 6)]
         assert await client.change("job", 2, "c") == (True, RegisterValue(3, "c"))
 
-    play_replicas(scene)
+    run_replica_cluster(scene)
 
 
 def test_invalid_change_is_rejected_with_a_reason_and_one_of_two_concurrent_changes_begins() -> None:
-    async def scene(group: ReplicaScene) -> None:
+    async def scene(group: ReplicaCluster) -> None:
         first_operator, second_operator = group_client(group), group_client(group)
         with pytest.raises(GroupChangeRejectedError, match="replica 4 does not answer"):
             await first_operator.change(lambda now: FOUR_FOR_ONE)
-        group.begin(4, 5)
+        group.start(4, 5)
         await anyio.sleep(1)
         outcomes: list[str] = []
 
@@ -86,14 +86,14 @@
         now = (await first_operator.wait_until_settled()).current
         assert now in (FOUR_FOR_ONE, {**MEMBERS, 5: "10.0.0.5:7299"})
 
-    play_replicas(scene)
+    run_replica_cluster(scene)
 
 
 def test_change_without_a_majority_completes_once_the_replicas_are_back() -> None:
-    async def scene(group: ReplicaScene) -> None:
+    async def scene(group: ReplicaCluster) -> None:
         operator = group_client(group)
         store = group.storages[4] = MemoryStorage()
-        group.begin(4)
+        group.start(4)
         await anyio.sleep(1)
         # Of the new set, replica 2 remains, and replica 4 until it is killed below.
         group.kill(3)
@@ -106,15 +106,15 @@
             await operator.undo()
         with pytest.raises(NoReplicaError):
             await group.client().change("job", 0, "a")
-        group.begin(3, 4)
+        group.start(3, 4)
         with anyio.fail_after(20):
             assert (await operator.wait_until_settled()).current == FOUR_FOR_ONE
 
-    play_replicas(scene)
+    run_replica_cluster(scene)
 
 
 def test_change_under_way_is_reverted_by_undo() -> None:
-    async def scene(group: ReplicaScene) -> None:
+    async def scene(group: ReplicaCluster) -> None:
         class DriverKillingStorage(MemoryStorage):
             """Storage of the joining replica. It kills replica 1 as soon as it has stored the new group.
 
@@ -128,7 +128,7 @@
 
         operator = group_client(group)
         group.storages[4] = DriverKillingStorage()
-        group.begin(4)
+        group.start(4)
         await anyio.sleep(1)
         with pytest.raises(GroupChangeRejectedError, match="no change is under way"):
             await operator.undo()
@@ -141,12 +141,12 @@
         assert (await operator.show()).next == FOUR_FOR_ONE
         assert (await operator.undo()).current == MEMBERS
         await anyio.sleep(10)
-        group.begin(1)
+        group.start(1)
         await anyio.sleep(3)
         assert (await operator.show()).current == MEMBERS
         assert await group.client().change("job", 0, "a") == (True, RegisterValue(1, "a"))
 
-    play_replicas(scene)
+    run_replica_cluster(scene)
 
 
 @pytest.mark.parametrize("before_write", [True, False])
@@ -160,7 +160,9 @@
     its disk as it is, or with a blank one.
     """
 
-    async def scene(group: ReplicaScene, write_number: int, blank: bool) -> tuple[list[dict[str, Any]], int]:
+    async def scene(
+        group: ReplicaCluster, write_number: int, blank: bool
+    ) -> tuple[list[dict[str, Any]], int]:
         record, client, operator = Record(), group.client(), group_client(group)
         operator.addresses = [MEMBERS[1], *operator.addresses]
 
@@ -169,14 +171,14 @@
             return await record_operation(client, record, "job", name, change)
 
         await ask("a", 0)
-        group.begin(4)
+        group.start(4)
         await anyio.sleep(0.5)
         rows = group.storages[killed_replica].rows
         store = KillingStorage(rows, write_number + 2, before_write, lambda: group.kill(killed_replica))
         group.kill(killed_replica)
         await anyio.sleep(0.5)
         group.storages[killed_replica] = store
-        group.begin(killed_replica)
+        group.start(killed_replica)
         await anyio.sleep(2)
         with anyio.move_on_after(5):
             try:
@@ -189,7 +191,7 @@
         group.storages[killed_replica] = MemoryStorage()
         if not blank:
             group.storages[killed_replica].rows = rows
-        group.begin(killed_replica)
+        group.start(killed_replica)
         await anyio.sleep(1)
         # Another replica completes the change without the operator.
         with anyio.fail_after(20):
@@ -201,12 +203,12 @@
         last = await ask("d", None)
         await ask("e", last.version)
         assert (await ask("f", None)).value == "e"
-        return record.events, store.left
+        return record.events, store.writes_left
 
     finished = 0
     for write_number in range(1, 14):
         for blank in (True, False):
-            events, left = play_replicas(
+            events, left = run_replica_cluster(
                 lambda group, write_number=write_number, blank=blank: scene(group, write_number, blank)
             )
             assert check_history(events).breaches == [], (write_number, blank)
