--- a/tests/distribution/test_origin.py
+++ b/tests/distribution/test_origin.py
@@ -29,7 +29,7 @@
 
         while [await lowest("a"), await lowest("b")] != [list(version)] * 2:
             await anyio.sleep(0.1)
-        scene.got["u5"].refuses.add(2)
+        scene.handlers["u5"].refuses.add(2)
         second = scene.configure(2)
         with anyio.fail_after(60):
             while not (zone := (await scene.in_force())["zones"]["b"]).get("unable_names"):
@@ -38,7 +38,7 @@
                 await anyio.sleep(0.1)
         assert zone["unable_names"] == [["u5", "config/pay", list(second), "no use for 2"]]
         assert zone["unable"] == 1
-        assert scene.got["u5"].number["pay"] == 1 and scene.got["u4"].number["pay"] == 2
+        assert scene.handlers["u5"].number["pay"] == 1 and scene.handlers["u4"].number["pay"] == 2
         told = await scene.in_force()
         assert {zone: one["followers"] for zone, one in told["zones"].items()} == {"a": 4, "b": 2}
         assert told["zones"]["b"]["lowest_used"] < list(second)
@@ -60,18 +60,18 @@
                 zone = (await scene.in_force())["zones"].get("a", {})
                 named = {name for name, _ in zone.get("behind_names", [])} | set(zone.get("gone_names", []))
                 await anyio.sleep(0.1)
-        assert scene.got["one"].number["pay"] == 1
+        assert scene.handlers["one"].number["pay"] == 1
 
     run_scene(play)
 
 
 def test_origin_without_stored_state_sends_no_topic_before_all_of_it() -> None:
     async def play(scene: Scene) -> None:
-        scene.kept = MemoryOriginStorage()
+        scene.origin_storage = MemoryOriginStorage()
         await scene.origin(remembered=False)
         await scene.relay("a1")
-        made, got = scene.subscriber("one", ["pay"]), scene.got["one"]
-        asker = scene.party("feeder", "10.0.8.1", "s")
+        made, got = scene.subscriber("one", ["pay"]), scene.handlers["one"]
+        asker = scene.add_host("feeder", "10.0.8.1", "s")
 
         async def post(key: str, **more: Any) -> int:
             change = {"topic": "boxes/pay", "key": key, "value": SERVER}
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("remembered", [True, False])
 def test_origin_restarted_with_lower_revisions_and_a_wall_clock_set_back(remembered: bool) -> None:
     async def play(scene: Scene) -> None:
-        scene.kept = MemoryOriginStorage(remembered)
+        scene.origin_storage = MemoryOriginStorage(remembered)
         await scene.origin(remembered=remembered)
         await scene.relay("a1")
         await scene.relay("a2")
@@ -100,8 +100,8 @@
             whole = [] if remembered else ["config/pay", "boxes/pay"]
             scene.origins[-1].commit([("config/pay", "routes", {"n": number})], whole)
         if remembered:
-            await scene.kept.append([("config/pay", "routes", {"n": 29})], [], dict)
-        made, got = scene.subscriber("one", ["pay"]), scene.got["one"]
+            await scene.origin_storage.append([("config/pay", "routes", {"n": 29})], [], dict)
+        made, got = scene.subscriber("one", ["pay"]), scene.handlers["one"]
         await scene.until(made.synced.is_set)
         first = made.store.version("config/pay")
         await scene.kill("source")
@@ -125,8 +125,8 @@
     async def play(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(5)
-        await scene.kept.append([("config/pay", "routes", {"n": 5})], [], dict)
-        made, got = scene.subscriber("one", ["pay"]), scene.got["one"]
+        await scene.origin_storage.append([("config/pay", "routes", {"n": 5})], [], dict)
+        made, got = scene.subscriber("one", ["pay"]), scene.handlers["one"]
         await scene.until(made.synced.is_set)
         before = made.store.version("config/pay")
         await scene.kill("source")
@@ -142,10 +142,10 @@
     async def play(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(5)
-        made, got = scene.subscriber("one", ["pay"]), scene.got["one"]
+        made, got = scene.subscriber("one", ["pay"]), scene.handlers["one"]
         await scene.until(made.synced.is_set)
         await scene.kill("source")
-        scene.kept, scene.wall_offset = MemoryOriginStorage(remembered=True), -3600.0
+        scene.origin_storage, scene.wall_offset = MemoryOriginStorage(remembered=True), -3600.0
         await scene.origin()
         scene.configure(4)
         await anyio.sleep(60)
@@ -160,10 +160,10 @@
         await fleet(scene, "a1")
         scene.origins[-1].commit(endpoint_changes("pay", 5))
         scene.configure(5)
-        made, got = scene.subscriber("one", ["pay"]), scene.got["one"]
+        made, got = scene.subscriber("one", ["pay"]), scene.handlers["one"]
         await scene.until(made.synced.is_set)
         await scene.kill("source")
-        scene.kept = MemoryOriginStorage(remembered=True, initialize=False)
+        scene.origin_storage = MemoryOriginStorage(remembered=True, initialize=False)
         await scene.origin()  # a later life by its clock, and blank
         await anyio.sleep(60)
         assert got.number["pay"] == 5 and len(got.endpoints_of["pay"]) == 5
@@ -192,7 +192,7 @@
 def test_origin_refuses_malformed_requests(target: str, told: dict[str, Any], status: int) -> None:
     async def play(scene: Scene) -> None:
         await scene.origin()
-        asker = scene.party("asker", "10.0.8.1", "s")
+        asker = scene.add_host("asker", "10.0.8.1", "s")
         body = msgspec.json.encode({"v": 1, **told})
         assert (await call(asker, ORIGIN, "POST", target, body))[0] == status
         assert not scene.origins[-1].store.logs and (await scene.in_force())["zones"] == {}
--- a/tests/distribution/test_random_faults.py
+++ b/tests/distribution/test_random_faults.py
@@ -44,7 +44,7 @@
         origin = scene.origins[-1]
         if "source" in scene.scopes and not scene.ended["source"].is_set() and origin.loaded.is_set():
             version = origin.commit(changes)
-            scene.kept.topics = {  # as its disk would have it
+            scene.origin_storage.topics = {  # as its disk would have it
                 name: {entry: decoded(raw) for entry, (_, raw) in topic.entries.items()}
                 for name, topic in origin.store.logs.items()
             }
@@ -111,7 +111,7 @@
                 and f"config/{service}" in self.scene.subscribers[name].store.held_versions()
             ):
                 self.looks += 1
-                assert self.scene.got[name].number.get(service, 0) >= number, (name, number)
+                assert self.scene.handlers[name].number.get(service, 0) >= number, (name, number)
 
 
 def decoded(raw: bytes) -> Any:
@@ -148,8 +148,8 @@
 
             def all_there() -> bool:
                 return all(
-                    scene.got[name].number.get(service, 0) == newest[service]
-                    and endpoints_of(scene, service) == scene.got[name].endpoints_of.get(service)
+                    scene.handlers[name].number.get(service, 0) == newest[service]
+                    and endpoints_of(scene, service) == scene.handlers[name].endpoints_of.get(service)
                     for name, made in scene.subscribers.items()
                     for service in {topic.partition("/")[2] for topic in made.store.held_versions()}
                     if service in newest
@@ -167,7 +167,7 @@
             await anyio.sleep(2 * STEADY)
             watching.cancel_scope.cancel()
         assert drawn.looks  # else nothing was held against the summary
-        for name, got in scene.got.items():
+        for name, got in scene.handlers.items():
             for service in SERVICES:
                 numbers = [number for one, number in got.numbers if one == service]
                 assert numbers == sorted(numbers), (name, service)
--- a/tests/distribution/test_relay.py
+++ b/tests/distribution/test_relay.py
@@ -15,18 +15,18 @@
     async def play(scene: Scene) -> None:
         await scene.relay("a1")
         made = scene.subscriber("one", ["pay"])
-        status, _ = await call(scene.parties["one"], RELAYS["a1"], "POST", "/v1/follow", SUBSCRIBE_BODY)
+        status, _ = await call(scene.hosts["one"], RELAYS["a1"], "POST", "/v1/follow", SUBSCRIBE_BODY)
         assert status == 503
         with pytest.raises(CallError) as refused:
-            async for _ in stream_lines(scene.parties["one"], RELAYS["a1"], "/v1/follow", SUBSCRIBE_BODY):
+            async for _ in stream_lines(scene.hosts["one"], RELAYS["a1"], "/v1/follow", SUBSCRIBE_BODY):
                 pass
         assert refused.value.status == 503 and refused.value.retry_after_seconds is not None
         await anyio.sleep(10)
-        assert not made.synced.is_set() and not scene.got["one"].calls
+        assert not made.synced.is_set() and not scene.handlers["one"].calls
         await scene.origin()
         scene.origins[-1].commit(endpoint_changes("pay", 3))
         await scene.until(made.synced.is_set)
-        assert len(scene.got["one"].endpoints_of["pay"]) == 3
+        assert len(scene.handlers["one"].endpoints_of["pay"]) == 3
 
     run_scene(play)
 
@@ -42,7 +42,7 @@
         await anyio.sleep(300)
         late = scene.subscriber("late", ["pay"])
         await scene.until(late.synced.is_set)
-        assert scene.got["late"].number == {"pay": 1}
+        assert scene.handlers["late"].number == {"pay": 1}
 
     run_scene(play)
 
@@ -51,7 +51,7 @@
     async def play(scene: Scene) -> None:
         await fleet(scene)
         scene.configure(1)
-        made, got = scene.subscriber("one", ["pay"], relays={"a1": RELAYS["a1"]}), scene.got["one"]
+        made, got = scene.subscriber("one", ["pay"], relays={"a1": RELAYS["a1"]}), scene.handlers["one"]
         await scene.until(made.synced.is_set)
         mend = scene.cut("a1", ORIGIN)
         scene.configure(2)
@@ -63,7 +63,7 @@
         assert scene.logged("a1", LogEvent.PROCESS_PAUSE_DETECTED) and not new.synced.is_set()
         mend()
         await scene.until(new.synced.is_set)
-        assert scene.got["new"].numbers == [("pay", 2)]
+        assert scene.handlers["new"].numbers == [("pay", 2)]
         await scene.until(lambda: got.number["pay"] == 2)
         assert got.numbers == [("pay", 1), ("pay", 2)]
 
@@ -80,7 +80,7 @@
         scene.clocks["a1"].ahead += 60.0
         new = scene.subscriber("new", ["pay"])
         await scene.until(new.synced.is_set, within=20)
-        assert scene.logged("a1", LogEvent.SENDING_RESUMED) and scene.got["new"].numbers == [("pay", 1)]
+        assert scene.logged("a1", LogEvent.SENDING_RESUMED) and scene.handlers["new"].numbers == [("pay", 1)]
 
     run_scene(play)
 
@@ -100,6 +100,6 @@
         scene.configure(2)
         again = scene.subscriber("three", ["pay"])
         await scene.until(again.synced.is_set)
-        assert scene.got["three"].numbers == [("pay", 2)]
+        assert scene.handlers["three"].numbers == [("pay", 2)]
 
     run_scene(play)
--- a/tests/distribution/test_stored_state.py
+++ b/tests/distribution/test_stored_state.py
@@ -25,7 +25,7 @@
 from gullmount.distribution.versions import NO_VERSION, Version
 from tests.support.distribution_scene import Scene, run_scene
 from tests.support.paths import ROOT
-from tests.support.subscribed_proxy_scene import ProcessMemory, ProxyScene, proxy_scene_begun
+from tests.support.subscribed_proxy_scene import ProcessMemory, ProxyScene, start_proxy_scene
 
 DATA = ROOT / "tests" / "data" / "distribution"
 WIRE: dict[str, str] = json.loads((DATA / "messages.json").read_text())
@@ -75,7 +75,7 @@
 
 def test_proxy_starts_from_the_state_that_the_earlier_version_remembered() -> None:
     async def play(scene: Scene) -> None:
-        around: ProxyScene = await proxy_scene_begun(scene)
+        around: ProxyScene = await start_proxy_scene(scene)
         memory = ProcessMemory()
         memory.data = (DATA / "subscriber-state.json").read_bytes()
         made = await around.proxy(memory, ("pay", "sell"), start_within=1.0)
--- a/tests/distribution/test_subscribed_proxy.py
+++ b/tests/distribution/test_subscribed_proxy.py
@@ -21,15 +21,15 @@
     ProcessMemory,
     configured,
     endpoints_of,
-    proxy_scene_begun,
     routes,
     server,
+    start_proxy_scene,
 )
 
 
 def test_proxy_accepts_no_request_before_the_configuration_is_in_force() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene)
+        around = await start_proxy_scene(scene)
         scene.origins[-1].commit(endpoints_of("one") + configured("/new"))
         made = await around.proxy(ProcessMemory())
         await anyio.sleep(60)
@@ -45,7 +45,7 @@
 
 def test_configuration_and_endpoints_of_a_service_change_independently() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
+        around = await start_proxy_scene(scene, "a1")
         origin = scene.origins[-1]
         origin.commit(endpoints_of("one") + configured("/old", "/both") + configured("/sell", service="sell"))
         made = await around.proxy(ProcessMemory(), ("pay", "sell"))
@@ -69,12 +69,12 @@
 
 def test_request_whose_route_is_removed_while_it_arrives_gets_its_response() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
+        around = await start_proxy_scene(scene, "a1")
         scene.origins[-1].commit(endpoints_of("one") + configured("/old"))
         made = await around.proxy(ProcessMemory())
         with anyio.fail_after(60):
             await made.listening.wait()
-        stream = await scene.party("client", "10.0.7.1", "a").connect("10.0.6.1:8000")
+        stream = await scene.add_host("client", "10.0.7.1", "a").connect("10.0.6.1:8000")
         await stream.send(b"POST /old HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\na")
         await anyio.sleep(1)
         scene.origins[-1].commit(configured("/new"))
@@ -87,7 +87,7 @@
 
 def test_unusable_configuration_is_named_at_the_origin_and_the_old_stays() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
+        around = await start_proxy_scene(scene, "a1")
         origin = scene.origins[-1]
         first = origin.commit(endpoints_of("one") + configured("/old"))
         made = await around.proxy(ProcessMemory())
@@ -118,7 +118,7 @@
 
 def test_invalid_configurations_are_rejected() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
+        around = await start_proxy_scene(scene, "a1")
         scene.origins[-1].commit(endpoints_of("one") + configured("/old") + configured("/x", service="sell"))
         made = await around.proxy(ProcessMemory(), ("pay", "sell"))
         with anyio.fail_after(60):
@@ -147,7 +147,7 @@
 
 def test_proxy_that_reaches_no_relay_starts_from_remembered_state() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
+        around = await start_proxy_scene(scene, "a1")
         scene.origins[-1].commit(endpoints_of("one") + configured("/new"))
         kept = ProcessMemory()
         made = await around.proxy(kept)
@@ -174,7 +174,7 @@
 
 def test_proxy_that_remembers_only_endpoints_waits_for_the_configuration() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
+        around = await start_proxy_scene(scene, "a1")
         around.memory = ProcessMemory()
         scene.origins[-1].commit(endpoints_of("one") + configured("/old"))
         made = await around.proxy(ProcessMemory())
@@ -197,7 +197,7 @@
 
 def test_proxy_that_was_down_starts_with_what_changed_since() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
+        around = await start_proxy_scene(scene, "a1")
         scene.origins[-1].commit(endpoints_of("one") + configured("/old"))
         kept = ProcessMemory()
         made = await around.proxy(kept)
@@ -218,7 +218,7 @@
 
 def test_unreadable_remembered_state_counts_as_none() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
+        around = await start_proxy_scene(scene, "a1")
         scene.origins[-1].commit(endpoints_of("one") + configured("/old"))
         kept = ProcessMemory()
         kept.data = b'{"v":1,"topics":{"config/pay":{"version":[1,"x"],"entries":{}}}}'
@@ -233,7 +233,7 @@
 
 def test_endpoint_in_two_services_is_removed_with_the_last_of_them() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
+        around = await start_proxy_scene(scene, "a1")
         origin = scene.origins[-1]
         origin.commit(endpoints_of("one", "two") + endpoints_of("one", service="sell"))
         made = await around.proxy(ProcessMemory(), ("pay", "sell"))
@@ -251,7 +251,7 @@
 
 def test_malformed_endpoint_is_left_out_and_the_others_applied() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
+        around = await start_proxy_scene(scene, "a1")
         origin = scene.origins[-1]
         bad = [("boxes/pay", "10.0.5.9:80", server(state="tired")), ("boxes/pay", "nowhere", server())]
         origin.commit([*endpoints_of("one"), *bad])
@@ -268,8 +268,8 @@
 
 def test_age_of_an_endpoint_grows_in_transit() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
-        asker = scene.party("asker", "10.0.8.1", "s")
+        around = await start_proxy_scene(scene, "a1")
+        asker = scene.add_host("asker", "10.0.8.1", "s")
 
         async def post(start: str, age: float) -> None:
             change = {"topic": "boxes/pay", "key": SERVERS["one"], "value": server(start=start, age=age)}
@@ -292,7 +292,7 @@
 
 def test_route_of_the_file_is_restored_when_its_replacement_is_removed() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
+        around = await start_proxy_scene(scene, "a1")
         origin = scene.origins[-1]
         anew = [("config/pay", "routes", {"routes": [{**ROUTE, "name": "pay", "match": {"path": "/other"}}]})]
         origin.commit(endpoints_of("one") + anew)
@@ -311,7 +311,7 @@
 
 def test_proxy_that_owns_leased_work_and_subscribes_to_relays() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
+        around = await start_proxy_scene(scene, "a1")
         scene.origins[-1].commit(endpoints_of("one") + configured("/new"))
         told = proxy_terms(listen="10.0.6.1:8000", launcher={"address": "10.0.4.1:7002"}).model_dump()
         keepers = {number: f"10.0.3.{number}:7299" for number in (1, 2, 3)}
@@ -319,7 +319,7 @@
         at = [{"name": "a1", "address": RELAYS["a1"], "zone": "a"}]
         told["relays"] = {"switched_on": True, "at": at, "services": ["pay"]}
         terms = ProxyFile.model_validate(told).without_discovery()
-        party = scene.party("umpire", "10.0.6.1", "a")
+        party = scene.add_host("umpire", "10.0.6.1", "a")
         log = scene.log_of("umpire")
         inner = LeasingProxy(terms, net=party, seed=1, log=log)  # type: ignore[arg-type]
         made = SubscribedProxy(terms, inner, inner.proxy_instance, network=party, wall=scene.wall, log=log)
@@ -336,10 +336,10 @@
 
 def test_new_epoch_leaves_routes_and_endpoints_as_they_are() -> None:
     async def play(scene: Scene) -> None:
-        around = await proxy_scene_begun(scene, "a1")
+        around = await start_proxy_scene(scene, "a1")
         told = endpoints_of("one") + configured("/new")
         scene.origins[-1].commit(told)
-        await scene.kept.append(told, [], dict)
+        await scene.origin_storage.append(told, [], dict)
         made = await around.proxy(ProcessMemory())
         with anyio.fail_after(60):
             await made.listening.wait()
--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -21,7 +21,7 @@
         scene.origins[-1].commit(endpoint_changes("pay", 3) + endpoint_changes("sell", 900))
         scene.configure(1)
         scene.configure(7, "sell")
-        made, got = scene.subscriber("one", ["pay"]), scene.got["one"]
+        made, got = scene.subscriber("one", ["pay"]), scene.handlers["one"]
         await scene.until(made.synced.is_set)
         assert (
             got.number == {"pay": 1}
@@ -45,7 +45,7 @@
     async def play(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.origins[-1].commit(endpoint_changes("pay", 10))
-        made, got = scene.subscriber("one", ["pay"], relays={"a1": RELAYS["a1"]}), scene.got["one"]
+        made, got = scene.subscriber("one", ["pay"], relays={"a1": RELAYS["a1"]}), scene.handlers["one"]
         await scene.until(made.synced.is_set)
         mend = scene.cut("one", RELAYS["a1"])
         for number in range(400):  # more ends than are remembered
@@ -69,7 +69,7 @@
     async def play(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(1)
-        made, got = scene.subscriber("one", ["pay"], relays={"a1": RELAYS["a1"]}), scene.got["one"]
+        made, got = scene.subscriber("one", ["pay"], relays={"a1": RELAYS["a1"]}), scene.handlers["one"]
         await scene.until(made.synced.is_set)
         mend = scene.cut("one", RELAYS["a1"])
         await scene.until(lambda: made.connected_relay is None)
--- a/tests/distribution/test_subscriber_server.py
+++ b/tests/distribution/test_subscriber_server.py
@@ -20,7 +20,7 @@
         head = b"POST /v1/follow HTTP/1.1\r\nhost: x\r\ncontent-length: %d\r\n\r\n"
         streams = []
         for _ in range(2):
-            stream = await scene.party("x", "10.0.8.1", "a").connect(RELAYS["a1"])
+            stream = await scene.add_host("x", "10.0.8.1", "a").connect(RELAYS["a1"])
             await stream.send(head % len(body) + body)  # and nothing is read: a write hangs
             streams.append(stream)
             await scene.until(lambda: relay.open_connections == 1 and "x" in relay.streams)
@@ -47,9 +47,9 @@
 def test_malformed_request_is_refused_and_changes_nothing(target: str, body: bytes, status: int) -> None:
     async def play(scene: Scene) -> None:
         await fleet(scene, "a1")
-        made, got = scene.subscriber("one", ["pay"]), scene.got["one"]
+        made, got = scene.subscriber("one", ["pay"]), scene.handlers["one"]
         await scene.until(made.synced.is_set)
-        asker = scene.party("asker", "10.0.8.1", "s")
+        asker = scene.add_host("asker", "10.0.8.1", "s")
         assert (await call(asker, RELAYS["a1"], "POST", target, body))[0] == status
         relay = scene.relays["a1"]
         assert (
@@ -68,7 +68,7 @@
 def test_overlong_body_ends_its_connection() -> None:
     async def play(scene: Scene) -> None:
         await fleet(scene, "a1")
-        asker = scene.party("asker", "10.0.8.1", "s")
+        asker = scene.add_host("asker", "10.0.8.1", "s")
         with pytest.raises(CallError):
             await call(asker, RELAYS["a1"], "POST", "/v1/follow", b"x" * (2 << 20))
         made = scene.subscriber("one", ["pay"])
@@ -82,7 +82,7 @@
         await fleet(scene, "a1")
         relay = scene.relays["a1"]
         relay.max_connections = 3
-        party = scene.party("many", "10.0.8.1", "a")
+        party = scene.add_host("many", "10.0.8.1", "a")
         opened = [await party.connect(RELAYS["a1"]) for _ in range(5)]
         await scene.until(lambda: relay.refused_connections == 2)
         assert relay.open_connections == 3
--- a/tests/distribution/test_subscription_client.py
+++ b/tests/distribution/test_subscription_client.py
@@ -23,7 +23,7 @@
         scene.origins[-1].commit(endpoint_changes("pay", 1000, size=600))
         scene.configure(4)
         scene.links.same_zone_delay = 0.1  # s for each piece of 64 KiB
-        made, got = scene.subscriber("one", ["pay"]), scene.got["one"]
+        made, got = scene.subscriber("one", ["pay"]), scene.handlers["one"]
         await scene.until(lambda: made.counters.bytes_in > 200_000)
         assert not made.synced.is_set() and not got.endpoints_of
         assert made.connected_relay is not None or made.counters.bytes_in
@@ -51,7 +51,7 @@
         assert counts.keys() == {RELAYS["a1"], RELAYS["a2"]} and min(counts.values()) > 15
         await scene.kill("a1")
         scene.configure(1)
-        took = await scene.until(lambda: all(got.number.get("pay") == 1 for got in scene.got.values()))
+        took = await scene.until(lambda: all(got.number.get("pay") == 1 for got in scene.handlers.values()))
         assert took < 5
         for name, made in scene.subscribers.items():
             assert made.counters.snapshots == 2, name
@@ -71,11 +71,11 @@
         await anyio.sleep(1200)
         late = scene.subscriber("late", ["pay"])
         await scene.until(late.synced.is_set)
-        assert scene.got["late"].number == {"pay": 1}
+        assert scene.handlers["late"].number == {"pay": 1}
         assert all(one.counters.moves < 12 for one in scene.subscribers.values())
         await scene.origin()
         scene.configure(2)
-        took = await scene.until(lambda: all(got.number["pay"] == 2 for got in scene.got.values()))
+        took = await scene.until(lambda: all(got.number["pay"] == 2 for got in scene.handlers.values()))
         assert took < 30
 
     run_scene(play)
@@ -85,7 +85,7 @@
     async def play(scene: Scene) -> None:
         await fleet(scene)
         scene.configure(1)
-        made, got = scene.subscriber("one", ["pay"], relays={"a1": RELAYS["a1"]}), scene.got["one"]
+        made, got = scene.subscriber("one", ["pay"], relays={"a1": RELAYS["a1"]}), scene.handlers["one"]
         other = scene.subscriber("two", ["pay"], relays={"a2": RELAYS["a2"]})
         await scene.until(lambda: made.synced.is_set() and other.synced.is_set())
         scene.cut("a2", ORIGIN)
@@ -124,7 +124,7 @@
 
 
 async def listen(scene: Scene, address: str, speak: Any, started: anyio.Event) -> None:
-    party = scene.party("scripted", address.rpartition(":")[0], "a")
+    party = scene.add_host("scripted", address.rpartition(":")[0], "a")
     await party.serve(address, speak, started)
 
 
@@ -170,7 +170,7 @@
         for number in range(6):
             scene.subscriber(f"u{number}", ["pay"])
         await scene.until(lambda: all(one.synced.is_set() for one in scene.subscribers.values()))
-        assert all(got.numbers == [("pay", 3)] for got in scene.got.values())
+        assert all(got.numbers == [("pay", 3)] for got in scene.handlers.values())
         assert any(one.selector.health[RELAYS["a2"]].failures for one in scene.subscribers.values())
 
     run_scene(play)
@@ -212,7 +212,7 @@
     async def play(scene: Scene) -> None:
         good = update_line(1, [1_796_000_000_000, 6])
         await scripted(scene, RELAYS["a2"], bad, bad, good)
-        made, got = scene.subscriber("one", ["pay"], relays={"a2": RELAYS["a2"]}), scene.got["one"]
+        made, got = scene.subscriber("one", ["pay"], relays={"a2": RELAYS["a2"]}), scene.handlers["one"]
         await scene.until(lambda: got.number.get("pay") == 1)
         assert got.numbers == [("pay", 1)]
         counts = made.counters
@@ -231,6 +231,6 @@
         for number in range(4):
             scene.subscriber(f"u{number}", ["pay"])
         await scene.until(lambda: all(one.synced.is_set() for one in scene.subscribers.values()))
-        assert all(got.numbers == [("pay", 3)] for got in scene.got.values())
+        assert all(got.numbers == [("pay", 3)] for got in scene.handlers.values())
 
     run_scene(play)
--- a/tests/distribution/test_update_stream.py
+++ b/tests/distribution/test_update_stream.py
@@ -16,7 +16,7 @@
             scene.subscriber(f"u{number}", ["pay"], relays={"a1": RELAYS["a1"]})
         await scene.until(lambda: all(one.synced.is_set() for one in scene.subscribers.values()))
         relay = scene.relays["a1"]
-        slow = await scene.party("slow", "10.0.2.99", "a").connect(RELAYS["a1"])
+        slow = await scene.add_host("slow", "10.0.2.99", "a").connect(RELAYS["a1"])
         body = SUBSCRIBE_BODY.replace(b'"x"', b'"slow"').replace(b"config", b"boxes")
         head = b"POST /v1/follow HTTP/1.1\r\nhost: x\r\ncontent-length: %d\r\n\r\n"
         await slow.send(head % len(body) + body)
@@ -63,7 +63,7 @@
             if not configured and len(made.store.logs) > 4:
                 scene.configure(1, "s0")
                 configured = anyio.current_time()
-            if configured > 0 and scene.got["one"].number.get("s0") == 1:
+            if configured > 0 and scene.handlers["one"].number.get("s0") == 1:
                 configured -= 1000.0
             await anyio.sleep(0.01)
         most = max(sum(by_second.get(at + step, 0) for step in range(9)) for at in by_second)
--- a/tests/support/distribution_scene.py
+++ b/tests/support/distribution_scene.py
@@ -74,22 +74,22 @@
         self.logs: list[tuple[str, str, dict[str, Any]]] = []
         self.scopes: dict[str, anyio.CancelScope] = {}
         self.ended: dict[str, anyio.Event] = {}
-        self.parties: dict[str, HostNetwork] = {}
-        self.kept = MemoryOriginStorage(remembered=True)
+        self.hosts: dict[str, HostNetwork] = {}
+        self.origin_storage = MemoryOriginStorage(remembered=True)
         self.wall_offset = 0.0
         self.origins: list[Origin] = []
         self.relays: dict[str, Relay] = {}
         self.clocks: dict[str, Clock] = {}
-        self.got: dict[str, RecordingHandler] = {}
+        self.handlers: dict[str, RecordingHandler] = {}
         self.subscribers: dict[str, Subscriber] = {}
         self.born = 0
 
     def wall(self) -> float:
         return WALL + anyio.current_time()
 
-    def party(self, name: str, host: str, zone: str) -> HostNetwork:
-        self.parties[name] = HostNetwork(self.links, host, name, zone, self.tasks)
-        return self.parties[name]
+    def add_host(self, name: str, host: str, zone: str) -> HostNetwork:
+        self.hosts[name] = HostNetwork(self.links, host, name, zone, self.tasks)
+        return self.hosts[name]
 
     def log_of(self, who: str) -> Callable[..., None]:
         def log(event: str, **fields: Any) -> None:
@@ -120,12 +120,12 @@
         self.tasks.start_soon(live, scope, ended)
 
     async def origin(self, **changes: Any) -> Origin:
-        party = self.party("source", "10.0.0.1", "s")
+        party = self.add_host("source", "10.0.0.1", "s")
         told = {"listen": ORIGIN, "zones": ["a", "b"], "relays": ZONES, "kept": "none", **changes}
         made = Origin(
             OriginConfig.model_validate(told),
             network=party,
-            storage=self.kept,
+            storage=self.origin_storage,
             log=self.log_of("source"),
             wall=lambda: self.wall() + self.wall_offset,
         )
@@ -134,7 +134,7 @@
         return made
 
     async def relay(self, name: str) -> Relay:
-        party = self.party(name, RELAYS[name].rpartition(":")[0], ZONES[name])
+        party = self.add_host(name, RELAYS[name].rpartition(":")[0], ZONES[name])
         told = {"name": name, "zones": ["a", "b"], "zone": ZONES[name], "listen": RELAYS[name]}
         self.born += 1
         clock = self.clocks[name] = Clock()
@@ -153,8 +153,8 @@
         self, name: str, services: list[str], zone: str = "a", relays: Mapping[str, str] | None = None
     ) -> Subscriber:
         self.born += 1
-        party = self.party(name, f"10.0.2.{self.born}", zone)
-        got = self.got.setdefault(name, RecordingHandler())
+        party = self.add_host(name, f"10.0.2.{self.born}", zone)
+        got = self.handlers.setdefault(name, RecordingHandler())
         made = self.subscribers[name] = Subscriber(
             name=name,
             zone=zone,
@@ -173,13 +173,13 @@
         return made
 
     async def kill(self, who: str) -> None:
-        await self.parties[who].kill()
+        await self.hosts[who].kill()
         self.scopes[who].cancel()
         await self.ended[who].wait()
 
     def cut(self, one: str, other_address: str) -> Callable[[], None]:
         """Cut the link from this party to that address; a call of the result restores it."""
-        line = self.links.link_between((self.parties[one].host, other_address))
+        line = self.links.link_between((self.hosts[one].host, other_address))
         line.begin_fault("cut", "both", 0.0)
         return lambda: line.end_fault("cut", "both", 0.0)
 
@@ -187,7 +187,7 @@
         return self.origins[-1].commit([(f"config/{service}", "routes", {"n": number})])
 
     def all_at(self, number: int, service: str = "pay") -> bool:
-        return all(got.number.get(service) == number for got in self.got.values())
+        return all(got.number.get(service) == number for got in self.handlers.values())
 
     async def until(self, true: Callable[[], bool], within: float = 120.0) -> float:
         """Wait until it is true; the seconds that it took."""
--- a/tests/support/subscribed_proxy_scene.py
+++ b/tests/support/subscribed_proxy_scene.py
@@ -72,7 +72,7 @@
         return speak
 
     async def serve(self, address: str, speak: Any) -> None:
-        party = self.scene.party(address, address.rpartition(":")[0], "a")
+        party = self.scene.add_host(address, address.rpartition(":")[0], "a")
         await self.scene.begin(address, lambda started: party.serve(address, speak, started))
 
     async def proxy(
@@ -84,7 +84,7 @@
         at = [{"name": name, "address": address, "zone": ZONES[name]} for name, address in RELAYS.items()]
         follow = {"switched_on": True, "at": at, "services": list(services), **section}
         terms = SubscribedProxyConfig.model_validate({**told, "relays": follow}).without_discovery()
-        party = self.scene.party("umpire", "10.0.6.1", "a")
+        party = self.scene.add_host("umpire", "10.0.6.1", "a")
         log = self.scene.log_of("umpire")
         running = ProxyInstance(
             terms,
@@ -107,11 +107,11 @@
         return made
 
     async def ask(self, path: str) -> int:
-        client = self.scene.party("client", "10.0.7.1", "a")
+        client = self.scene.add_host("client", "10.0.7.1", "a")
         return (await call(client, "10.0.6.1:8000", "POST", path, b"a"))[0]
 
 
-async def proxy_scene_begun(scene: Scene, *relays: str) -> ProxyScene:
+async def start_proxy_scene(scene: Scene, *relays: str) -> ProxyScene:
     await scene.origin()
     for name in relays:
         await scene.relay(name)
