--- a/tests/distribution/test_config.py
+++ b/tests/distribution/test_config.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("model", "text", "line", "other", "said"),
+    ("model", "text", "line", "replacement", "message"),
     [
         (OriginConfig, ORIGIN_FILE, "  relay-b: b", "  relay-b: c", "file:3: relays: relay-b: zone 'c'"),
         (OriginConfig, ORIGIN_FILE, "kept: source.json", "", "file:1: kept: Field required"),
@@ -46,70 +46,72 @@
     ],
 )
 def test_bad_origin_or_relay_file_names_line_and_key(
-    model: type, text: str, line: str, other: str, said: str
+    model: type, text: str, line: str, replacement: str, message: str
 ) -> None:
     parse_yaml(text, "file", model)
-    with pytest.raises(InvalidFileError, match=said):
-        parse_yaml(text.replace(line, other, 1), "file", model)
+    with pytest.raises(InvalidFileError, match=message):
+        parse_yaml(text.replace(line, replacement, 1), "file", model)
 
 
 def proxy_file(section: str) -> str:
     return json.dumps(proxy_terms().model_dump(mode="json"))[:-1] + f',\n"relays": {section}}}'
 
 
-AT = '"at": [{"name": "r", "address": "127.0.0.1:1", "zone": "a"}]'
+RELAYS = '"at": [{"name": "r", "address": "127.0.0.1:1", "zone": "a"}]'
 
 
 def test_section_without_switched_on_does_nothing() -> None:
-    for section, follows in (
+    for section, expected in (
         ("null", False),
-        (f'{{{AT}, "services": ["pay"]}}', False),
-        (f'{{"switched_on": false, {AT}, "services": ["pay"]}}', False),
-        (f'{{"switched_on": true, {AT}, "services": ["pay"]}}', True),
+        (f'{{{RELAYS}, "services": ["pay"]}}', False),
+        (f'{{"switched_on": false, {RELAYS}, "services": ["pay"]}}', False),
+        (f'{{"switched_on": true, {RELAYS}, "services": ["pay"]}}', True),
     ):
-        assert parse_yaml(proxy_file(section), "umpire.yaml", SubscribedProxyConfig).subscribes == follows
+        assert parse_yaml(proxy_file(section), "umpire.yaml", SubscribedProxyConfig).subscribes == expected
 
 
 @pytest.mark.parametrize(
-    ("section", "said"),
+    ("section", "message"),
     [
-        (f'{{"switched_on": true,\n{AT}}}', "umpire.yaml:2: relays.services: Field required"),
+        (f'{{"switched_on": true,\n{RELAYS}}}', "umpire.yaml:2: relays.services: Field required"),
         ('{"switched_on": true,\n"services": ["pay"]}', "umpire.yaml:2: relays.at: Field required"),
         (
-            f'{{{AT},\n"services": ["pay", "pay"]}}',
+            f'{{{RELAYS},\n"services": ["pay", "pay"]}}',
             "umpire.yaml:3: relays.services: a service is named twice",
         ),
-        (f'{{{AT},\n"services": ["pay"],\n"hurry": 1}}', "umpire.yaml:4: relays.hurry: Extra inputs"),
+        (f'{{{RELAYS},\n"services": ["pay"],\n"hurry": 1}}', "umpire.yaml:4: relays.hurry: Extra inputs"),
         (
-            f'{{{AT.replace(chr(34) + "a" + chr(34), chr(34) + "z" + chr(34))},\n"services": ["pay"]}}',
+            f'{{{RELAYS.replace(chr(34) + "a" + chr(34), chr(34) + "z" + chr(34))},\n"services": ["pay"]}}',
             "umpire.yaml:2: relays: at: none is named for this proxy's zone 'a'",
         ),
         (
-            f'{{{AT.replace("127.0.0.1:1", "there")},\n"services": ["pay"]}}',
+            f'{{{RELAYS.replace("127.0.0.1:1", "there")},\n"services": ["pay"]}}',
             "relays.at.0.address: .*host:port",
         ),
     ],
 )
-def test_bad_section_names_line_and_key(section: str, said: str) -> None:
-    with pytest.raises(InvalidFileError, match=said):
+def test_bad_section_names_line_and_key(section: str, message: str) -> None:
+    with pytest.raises(InvalidFileError, match=message):
         parse_yaml(proxy_file(section), "umpire.yaml", SubscribedProxyConfig)
 
 
 def test_discovery_is_not_needed_where_relays_are_subscribed_to() -> None:
-    told = proxy_terms().model_dump(mode="json")
-    del told["roster"]
-    on = {"switched_on": True, **json.loads(f"{{{AT}}}"), "services": ["pay"]}
-    parse_yaml(json.dumps({**told, "relays": on}), "umpire.yaml", SubscribedProxyConfig)
+    settings = proxy_terms().model_dump(mode="json")
+    del settings["roster"]
+    relays_section = {"switched_on": True, **json.loads(f"{{{RELAYS}}}"), "services": ["pay"]}
+    parse_yaml(json.dumps({**settings, "relays": relays_section}), "umpire.yaml", SubscribedProxyConfig)
     with pytest.raises(InvalidFileError, match="roster: Field required"):
         parse_yaml(
-            json.dumps({**told, "relays": {**on, "switched_on": False}}), "umpire.yaml", SubscribedProxyConfig
+            json.dumps({**settings, "relays": {**relays_section, "switched_on": False}}),
+            "umpire.yaml",
+            SubscribedProxyConfig,
         )
 
 
 def loaded_by(module: str, prefix: str) -> str:
     code = f"import sys, {module}; print(sorted(name for name in sys.modules if name.startswith({prefix!r})))"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    return done.stdout.strip()
+    completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    return completed.stdout.strip()
 
 
 def test_platform_loads_no_module_of_distribution() -> None:
--- a/tests/distribution/test_relay.py
+++ b/tests/distribution/test_relay.py
@@ -12,9 +12,9 @@
 
 
 def test_relay_that_has_not_reached_the_origin_sends_nothing() -> None:
-    async def play(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         await scene.relay("a1")
-        made = scene.subscriber("one", ["pay"])
+        first_subscriber = scene.subscriber("one", ["pay"])
         status, _ = await call(scene.hosts["one"], RELAYS["a1"], "POST", "/v1/follow", SUBSCRIBE_BODY)
         assert status == 503
         with pytest.raises(CallError) as refused:
@@ -22,84 +22,87 @@
                 pass
         assert refused.value.status == 503 and refused.value.retry_after_seconds is not None
         await anyio.sleep(10)
-        assert not made.synced.is_set() and not scene.handlers["one"].calls
+        assert not first_subscriber.synced.is_set() and not scene.handlers["one"].calls
         await scene.origin()
         scene.origins[-1].commit(endpoint_changes("pay", 3))
-        await scene.until(made.synced.is_set)
+        await scene.until(first_subscriber.synced.is_set)
         assert len(scene.handlers["one"].endpoints_of["pay"]) == 3
 
-    run_scene(play)
+    run_scene(scenario)
 
 
 def test_unused_topics_are_kept_while_the_origin_is_gone() -> None:
-    async def play(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(1)
-        made = scene.subscriber("one", ["pay"])
-        await scene.until(made.synced.is_set)
+        first_subscriber = scene.subscriber("one", ["pay"])
+        await scene.until(first_subscriber.synced.is_set)
         await scene.kill("source")
         await scene.kill("one")
         await anyio.sleep(300)
-        late = scene.subscriber("late", ["pay"])
-        await scene.until(late.synced.is_set)
+        late_subscriber = scene.subscriber("late", ["pay"])
+        await scene.until(late_subscriber.synced.is_set)
         assert scene.handlers["late"].number == {"pay": 1}
 
-    run_scene(play)
+    run_scene(scenario)
 
 
 def test_paused_relay_checks_with_the_origin_before_it_sends() -> None:
-    async def play(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         await fleet(scene)
         scene.configure(1)
-        made, got = scene.subscriber("one", ["pay"], relays={"a1": RELAYS["a1"]}), scene.handlers["one"]
-        await scene.until(made.synced.is_set)
-        mend = scene.cut("a1", ORIGIN)
+        first_subscriber, handler = (
+            scene.subscriber("one", ["pay"], relays={"a1": RELAYS["a1"]}),
+            scene.handlers["one"],
+        )
+        await scene.until(first_subscriber.synced.is_set)
+        restore_link = scene.cut("a1", ORIGIN)
         scene.configure(2)
         await anyio.sleep(1)
         assert scene.relays["a1"].store.version("config/pay").revision == 1
-        scene.clocks["a1"].ahead += 60.0  # as a stop of a minute does
-        new = scene.subscriber("new", ["pay"], relays={"a1": RELAYS["a1"]})
+        scene.clocks["a1"].offset_seconds += 60.0  # as a stop of a minute does
+        new_subscriber = scene.subscriber("new", ["pay"], relays={"a1": RELAYS["a1"]})
         await anyio.sleep(2)
-        assert scene.logged("a1", LogEvent.PROCESS_PAUSE_DETECTED) and not new.synced.is_set()
-        mend()
-        await scene.until(new.synced.is_set)
+        assert scene.logged("a1", LogEvent.PROCESS_PAUSE_DETECTED) and not new_subscriber.synced.is_set()
+        restore_link()
+        await scene.until(new_subscriber.synced.is_set)
         assert scene.handlers["new"].numbers == [("pay", 2)]
-        await scene.until(lambda: got.number["pay"] == 2)
-        assert got.numbers == [("pay", 1), ("pay", 2)]
+        await scene.until(lambda: handler.number["pay"] == 2)
+        assert handler.numbers == [("pay", 1), ("pay", 2)]
 
-    run_scene(play)
+    run_scene(scenario)
 
 
 def test_paused_relay_without_the_origin_sends_after_a_while() -> None:
-    async def play(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(1)
-        made = scene.subscriber("one", ["pay"])
-        await scene.until(made.synced.is_set)
+        first_subscriber = scene.subscriber("one", ["pay"])
+        await scene.until(first_subscriber.synced.is_set)
         await scene.kill("source")
-        scene.clocks["a1"].ahead += 60.0
-        new = scene.subscriber("new", ["pay"])
-        await scene.until(new.synced.is_set, within=20)
+        scene.clocks["a1"].offset_seconds += 60.0
+        new_subscriber = scene.subscriber("new", ["pay"])
+        await scene.until(new_subscriber.synced.is_set, within=20)
         assert scene.logged("a1", LogEvent.SENDING_RESUMED) and scene.handlers["new"].numbers == [("pay", 1)]
 
-    run_scene(play)
+    run_scene(scenario)
 
 
 def test_unused_topics_are_dropped_and_requested_again() -> None:
-    async def play(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(1)
-        made = scene.subscriber("one", ["pay"])
-        stay = scene.subscriber("two", ["sell"])
-        await scene.until(lambda: made.synced.is_set() and stay.synced.is_set())
+        first_subscriber = scene.subscriber("one", ["pay"])
+        other_subscriber = scene.subscriber("two", ["sell"])
+        await scene.until(lambda: first_subscriber.synced.is_set() and other_subscriber.synced.is_set())
         relay = scene.relays["a1"]
         await scene.kill("one")
         await scene.until(lambda: relay.store.subscribed == {"boxes/sell", "config/sell"}, within=200)
         origin = scene.origins[-1]
         await scene.until(lambda: "config/pay" not in origin.subscriptions.by_subscriber["a1"].sent)
         scene.configure(2)
-        again = scene.subscriber("three", ["pay"])
-        await scene.until(again.synced.is_set)
+        later_subscriber = scene.subscriber("three", ["pay"])
+        await scene.until(later_subscriber.synced.is_set)
         assert scene.handlers["three"].numbers == [("pay", 2)]
 
-    run_scene(play)
+    run_scene(scenario)
--- a/tests/distribution/test_subscriber_server.py
+++ b/tests/distribution/test_subscriber_server.py
@@ -12,7 +12,7 @@
 
 
 def test_later_stream_of_the_same_name_ends_the_earlier_at_once() -> None:
-    async def play(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.origins[-1].commit(endpoint_changes("pay", 2000, size=100))
         relay = scene.relays["a1"]
@@ -27,7 +27,7 @@
             await anyio.sleep(3)
         assert relay.open_connections == 1 and relay.stalled_streams == 0
 
-    run_scene(play)
+    run_scene(scenario)
 
 
 @pytest.mark.parametrize(
@@ -45,12 +45,12 @@
     ],
 )
 def test_malformed_request_is_refused_and_changes_nothing(target: str, body: bytes, status: int) -> None:
-    async def play(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
-        made, got = scene.subscriber("one", ["pay"]), scene.handlers["one"]
-        await scene.until(made.synced.is_set)
-        asker = scene.add_host("asker", "10.0.8.1", "s")
-        assert (await call(asker, RELAYS["a1"], "POST", target, body))[0] == status
+        new_subscriber, handler = scene.subscriber("one", ["pay"]), scene.handlers["one"]
+        await scene.until(new_subscriber.synced.is_set)
+        client = scene.add_host("asker", "10.0.8.1", "s")
+        assert (await call(client, RELAYS["a1"], "POST", target, body))[0] == status
         relay = scene.relays["a1"]
         assert (
             relay.malformed_messages == (status == 400) == len(scene.logged("a1", LogEvent.REQUEST_MALFORMED))
@@ -60,34 +60,34 @@
             "config/pay",
         }
         scene.configure(1)
-        await scene.until(lambda: got.number["pay"] == 1)
+        await scene.until(lambda: handler.number["pay"] == 1)
 
-    run_scene(play)
+    run_scene(scenario)
 
 
 def test_overlong_body_ends_its_connection() -> None:
-    async def play(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
-        asker = scene.add_host("asker", "10.0.8.1", "s")
+        client = scene.add_host("asker", "10.0.8.1", "s")
         with pytest.raises(CallError):
-            await call(asker, RELAYS["a1"], "POST", "/v1/follow", b"x" * (2 << 20))
-        made = scene.subscriber("one", ["pay"])
-        await scene.until(made.synced.is_set)
+            await call(client, RELAYS["a1"], "POST", "/v1/follow", b"x" * (2 << 20))
+        new_subscriber = scene.subscriber("one", ["pay"])
+        await scene.until(new_subscriber.synced.is_set)
 
-    run_scene(play)
+    run_scene(scenario)
 
 
 def test_connections_and_subscribers_are_bounded() -> None:
-    async def play(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         relay = scene.relays["a1"]
         relay.max_connections = 3
-        party = scene.add_host("many", "10.0.8.1", "a")
-        opened = [await party.connect(RELAYS["a1"]) for _ in range(5)]
+        host = scene.add_host("many", "10.0.8.1", "a")
+        client_streams = [await host.connect(RELAYS["a1"]) for _ in range(5)]
         await scene.until(lambda: relay.refused_connections == 2)
         assert relay.open_connections == 3
-        assert [said["count"] for said in scene.logged("a1", LogEvent.CONNECTION_LIMIT_REACHED)] == [1, 2]
-        for stream in opened:
+        assert [fields["count"] for fields in scene.logged("a1", LogEvent.CONNECTION_LIMIT_REACHED)] == [1, 2]
+        for stream in client_streams:
             await stream.aclose()
         await scene.until(lambda: relay.open_connections == 0)
         relay.subscriptions.max_subscribers = 2
@@ -97,4 +97,4 @@
         await scene.until(lambda: len(scene.logged("a1", LogEvent.SUBSCRIBER_LIMIT_REACHED)) > 0)
         assert len(relay.subscriptions.by_subscriber) == 2
 
-    run_scene(play)
+    run_scene(scenario)
--- a/tests/support/distribution_fleet.py
+++ b/tests/support/distribution_fleet.py
@@ -11,8 +11,8 @@
 
 
 def endpoint_changes(service: str, count: int, size: int = 0) -> list[tuple[str, str, Any]]:
-    pad = {"pad": "x" * size} if size else {}
-    return [(f"boxes/{service}", f"10.1.0.{number}:80", SERVER | pad) for number in range(count)]
+    padding = {"pad": "x" * size} if size else {}
+    return [(f"boxes/{service}", f"10.1.0.{number}:80", SERVER | padding) for number in range(count)]
 
 
 async def fleet(scene: Scene, *relays: str) -> None:
@@ -26,8 +26,8 @@
 
 
 def update_line(
-    number: int, version: list[int], as_of: list[int] | None = None, topic: str = "config/pay", **more: Any
+    number: int, version: list[int], as_of: list[int] | None = None, topic: str = "config/pay", **fields: Any
 ) -> bytes:
-    one = {"topic": topic, "whole": True, "version": version, "entries": {"routes": {"n": number}}}
-    line = {"v": 1, "kind": "told", "as_of": as_of or version, "topics": [one], **more}
-    return json.dumps(line).encode() + b"\n"
+    topic_update = {"topic": topic, "whole": True, "version": version, "entries": {"routes": {"n": number}}}
+    message = {"v": 1, "kind": "told", "as_of": as_of or version, "topics": [topic_update], **fields}
+    return json.dumps(message).encode() + b"\n"
--- a/tests/support/distribution_scene.py
+++ b/tests/support/distribution_scene.py
@@ -25,7 +25,7 @@
 ORIGIN = "10.0.0.1:7400"
 RELAYS = {"a1": "10.0.1.1:7401", "a2": "10.0.1.2:7401", "b1": "10.0.1.3:7401"}
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
-WALL = 1_796_000_000.0  # s
+WALL_CLOCK_START_SECONDS = 1_796_000_000.0  # s
 
 
 class RecordingHandler:
@@ -40,12 +40,12 @@
 
     def apply_endpoints(self, service: str, whole: bool, entries: Mapping[str, Any | None]) -> None:
         self.calls.append(("boxes", service, whole, len(entries)))
-        held = {} if whole else self.endpoints_of.setdefault(service, {})
+        endpoints = {} if whole else self.endpoints_of.setdefault(service, {})
         for server, value in entries.items():
-            held.pop(server, None)
+            endpoints.pop(server, None)
             if value is not None:
-                held[server] = value
-        self.endpoints_of[service] = held
+                endpoints[server] = value
+        self.endpoints_of[service] = endpoints
 
     def apply_configuration(self, service: str, entries: Mapping[str, Any | None]) -> None:
         self.calls.append(("config", service, False, len(entries)))
@@ -60,10 +60,10 @@
     """The loop's clock; `ahead` is how far a pause has made it jump, in seconds."""
 
     def __init__(self) -> None:
-        self.ahead = 0.0
+        self.offset_seconds = 0.0
 
     def __call__(self) -> float:
-        return anyio.current_time() + self.ahead
+        return anyio.current_time() + self.offset_seconds
 
 
 class Scene:
@@ -82,135 +82,139 @@
         self.clocks: dict[str, Clock] = {}
         self.handlers: dict[str, RecordingHandler] = {}
         self.subscribers: dict[str, Subscriber] = {}
-        self.born = 0
+        self.created_count = 0
 
     def wall(self) -> float:
-        return WALL + anyio.current_time()
+        return WALL_CLOCK_START_SECONDS + anyio.current_time()
 
     def add_host(self, name: str, host: str, zone: str) -> HostNetwork:
         self.hosts[name] = HostNetwork(self.links, host, name, zone, self.tasks)
         return self.hosts[name]
 
-    def log_of(self, who: str) -> Callable[..., None]:
+    def log_of(self, participant: str) -> Callable[..., None]:
         def log(event: str, **fields: Any) -> None:
-            self.logs.append((who, event, fields))
+            self.logs.append((participant, event, fields))
 
         return log
 
-    def logged(self, who: str, event: str) -> list[dict[str, Any]]:
-        return [fields for one, said, fields in self.logs if (one, said) == (who, event)]
+    def logged(self, participant: str, event: str) -> list[dict[str, Any]]:
+        return [
+            fields
+            for logger, logged_event, fields in self.logs
+            if (logger, logged_event) == (participant, event)
+        ]
 
-    async def begin(self, who: str, run: Callable[..., Awaitable[None]]) -> None:
+    async def begin(self, participant: str, run: Callable[..., Awaitable[None]]) -> None:
         started = anyio.Event()
 
-        async def run_it() -> None:
+        async def run_until_started() -> None:
             await run(started)
 
-        self.live(who, run_it)
+        self.run_in_background(participant, run_until_started)
         with anyio.fail_after(10):
             await started.wait()
 
-    def live(self, who: str, run: Callable[[], Awaitable[None]]) -> None:
-        async def live(scope: anyio.CancelScope, ended: anyio.Event) -> None:
+    def run_in_background(self, participant: str, run: Callable[[], Awaitable[None]]) -> None:
+        async def run_in_scope(scope: anyio.CancelScope, ended: anyio.Event) -> None:
             with scope:
                 await run()
             ended.set()
 
-        scope, ended = self.scopes[who], self.ended[who] = anyio.CancelScope(), anyio.Event()
-        self.tasks.start_soon(live, scope, ended)
+        scope, ended = self.scopes[participant], self.ended[participant] = anyio.CancelScope(), anyio.Event()
+        self.tasks.start_soon(run_in_scope, scope, ended)
 
     async def origin(self, **changes: Any) -> Origin:
-        party = self.add_host("source", "10.0.0.1", "s")
-        told = {"listen": ORIGIN, "zones": ["a", "b"], "relays": ZONES, "kept": "none", **changes}
-        made = Origin(
-            OriginConfig.model_validate(told),
-            network=party,
+        host_network = self.add_host("source", "10.0.0.1", "s")
+        settings = {"listen": ORIGIN, "zones": ["a", "b"], "relays": ZONES, "kept": "none", **changes}
+        new_origin = Origin(
+            OriginConfig.model_validate(settings),
+            network=host_network,
             storage=self.origin_storage,
             log=self.log_of("source"),
             wall=lambda: self.wall() + self.wall_offset,
         )
-        self.origins.append(made)
-        await self.begin("source", made.run)
-        return made
+        self.origins.append(new_origin)
+        await self.begin("source", new_origin.run)
+        return new_origin
 
     async def relay(self, name: str) -> Relay:
-        party = self.add_host(name, RELAYS[name].rpartition(":")[0], ZONES[name])
-        told = {"name": name, "zones": ["a", "b"], "zone": ZONES[name], "listen": RELAYS[name]}
-        self.born += 1
+        host_network = self.add_host(name, RELAYS[name].rpartition(":")[0], ZONES[name])
+        settings = {"name": name, "zones": ["a", "b"], "zone": ZONES[name], "listen": RELAYS[name]}
+        self.created_count += 1
         clock = self.clocks[name] = Clock()
-        made = self.relays[name] = Relay(
-            RelayConfig.model_validate({**told, "source": ORIGIN, "rate": self.rate}),
-            network=party,
-            random=Random(self.born),
+        new_relay = self.relays[name] = Relay(
+            RelayConfig.model_validate({**settings, "source": ORIGIN, "rate": self.rate}),
+            network=host_network,
+            random=Random(self.created_count),
             log=self.log_of(name),
             clock=clock,
             wall=self.wall,
         )
-        await self.begin(name, made.run)
-        return made
+        await self.begin(name, new_relay.run)
+        return new_relay
 
     def subscriber(
         self, name: str, services: list[str], zone: str = "a", relays: Mapping[str, str] | None = None
     ) -> Subscriber:
-        self.born += 1
-        party = self.add_host(name, f"10.0.2.{self.born}", zone)
-        got = self.handlers.setdefault(name, RecordingHandler())
-        made = self.subscribers[name] = Subscriber(
+        self.created_count += 1
+        host_network = self.add_host(name, f"10.0.2.{self.created_count}", zone)
+        recorder = self.handlers.setdefault(name, RecordingHandler())
+        new_subscriber = self.subscribers[name] = Subscriber(
             name=name,
             zone=zone,
             relays=[
-                RelayEndpoint(address, ZONES.get(one, "a"))
-                for one, address in (RELAYS if relays is None else relays).items()
+                RelayEndpoint(address, ZONES.get(relay_name, "a"))
+                for relay_name, address in (RELAYS if relays is None else relays).items()
             ],
             services=services,
-            network=party,
-            random=Random(self.born),
-            handler=got,
+            network=host_network,
+            random=Random(self.created_count),
+            handler=recorder,
             log=self.log_of(name),
             wall=self.wall,
         )
-        self.live(name, made.run)
-        return made
+        self.run_in_background(name, new_subscriber.run)
+        return new_subscriber
 
-    async def kill(self, who: str) -> None:
-        await self.hosts[who].kill()
-        self.scopes[who].cancel()
-        await self.ended[who].wait()
+    async def kill(self, participant: str) -> None:
+        await self.hosts[participant].kill()
+        self.scopes[participant].cancel()
+        await self.ended[participant].wait()
 
-    def cut(self, one: str, other_address: str) -> Callable[[], None]:
+    def cut(self, host_name: str, other_address: str) -> Callable[[], None]:
         """Cut the link from this party to that address; a call of the result restores it."""
-        line = self.links.link_between((self.hosts[one].host, other_address))
-        line.begin_fault("cut", "both", 0.0)
-        return lambda: line.end_fault("cut", "both", 0.0)
+        link = self.links.link_between((self.hosts[host_name].host, other_address))
+        link.begin_fault("cut", "both", 0.0)
+        return lambda: link.end_fault("cut", "both", 0.0)
 
     def configure(self, number: int, service: str = "pay") -> Any:
         return self.origins[-1].commit([(f"config/{service}", "routes", {"n": number})])
 
-    def all_at(self, number: int, service: str = "pay") -> bool:
-        return all(got.number.get(service) == number for got in self.handlers.values())
+    def all_applied(self, number: int, service: str = "pay") -> bool:
+        return all(recorder.number.get(service) == number for recorder in self.handlers.values())
 
-    async def until(self, true: Callable[[], bool], within: float = 120.0) -> float:
+    async def until(self, condition: Callable[[], bool], within: float = 120.0) -> float:
         """Wait until it is true; the seconds that it took."""
-        began = anyio.current_time()
+        started_at = anyio.current_time()
         with anyio.fail_after(within):
-            while not true():
+            while not condition():
                 await anyio.sleep(0.01)
-        return anyio.current_time() - began
+        return anyio.current_time() - started_at
 
     async def in_force(self) -> dict[str, Any]:
         """What the origin reports to be in force."""
-        asker = HostNetwork(self.links, "10.0.9.9", "asker", "s", self.tasks)
-        _, body = await call(asker, ORIGIN, "GET", "/v1/in-force")
-        told: dict[str, Any] = msgspec.json.decode(body)
-        return told
+        client = HostNetwork(self.links, "10.0.9.9", "asker", "s", self.tasks)
+        _, body = await call(client, ORIGIN, "GET", "/v1/in-force")
+        report: dict[str, Any] = msgspec.json.decode(body)
+        return report
 
 
 def run_scene(scene: Callable[[Scene], Awaitable[Any]], seed: int = 1, rate: int | None = None) -> Any:
-    async def play() -> Any:
+    async def run_tasks() -> Any:
         async with anyio.create_task_group() as tasks:
-            made = Scene(tasks, rate)
-            out = await scene(made)
+            new_scene = Scene(tasks, rate)
+            result = await scene(new_scene)
             tasks.cancel_scope.cancel()
-        return out
+        return result
 
-    return run_in_virtual_time(play, seed)
+    return run_in_virtual_time(run_tasks, seed)
--- a/tests/support/subscribed_proxy_scene.py
+++ b/tests/support/subscribed_proxy_scene.py
@@ -35,8 +35,8 @@
 
 
 def server(**changes: Any) -> dict[str, Any]:
-    told = {"zone": "a", "cell": 0, "build": 1, "state": "ready", "power": 1.0, "start": None, "age": None}
-    return {**told, **changes}
+    entry = {"zone": "a", "cell": 0, "build": 1, "state": "ready", "power": 1.0, "start": None, "age": None}
+    return {**entry, **changes}
 
 
 def routes(*paths: str) -> dict[str, Any]:
@@ -48,63 +48,75 @@
 
     def __init__(self, scene: Scene) -> None:
         self.scene = scene
-        self.seen: list[str] = []  # endpoints that were sent a request, in their order
-        self.lives = 0
-        self.memory: ProcessMemory | None = None  # of the proxy within, beside that of what relays told
+        self.requested_servers: list[str] = []  # endpoints that were sent a request, in their order
+        self.started_proxies = 0
+        self.endpoint_state_store: ProcessMemory | None = (
+            None  # of the proxy within, beside that of what relays told
+        )
 
     async def begin(self) -> None:
-        async def launcher(stream: Stream) -> None:
+        async def release_controller(stream: Stream) -> None:
             await serve_watch(stream, {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}})
 
-        await self.serve("10.0.4.1:7002", launcher)
+        await self.serve("10.0.4.1:7002", release_controller)
         for name, address in SERVERS.items():
-            await self.serve(address, self.answering(name))
+            await self.serve(address, self.respond_and_record(name))
 
-    def answering(self, name: str) -> Any:
-        async def speak(stream: Stream) -> None:
+    def respond_and_record(self, name: str) -> Any:
+        async def handle_stream(stream: Stream) -> None:
             try:
                 while await stream.receive():
-                    self.seen.append(name)
+                    self.requested_servers.append(name)
                     await stream.send(OK_RESPONSE)
             except STREAM_ERRORS:
                 pass
 
-        return speak
+        return handle_stream
 
-    async def serve(self, address: str, speak: Any) -> None:
-        party = self.scene.add_host(address, address.rpartition(":")[0], "a")
-        await self.scene.begin(address, lambda started: party.serve(address, speak, started))
+    async def serve(self, address: str, handle_stream: Any) -> None:
+        host = self.scene.add_host(address, address.rpartition(":")[0], "a")
+        await self.scene.begin(address, lambda started: host.serve(address, handle_stream, started))
 
     async def proxy(
-        self, kept: ProcessMemory, services: tuple[str, ...] = ("pay",), **section: Any
+        self, subscription_store: ProcessMemory, services: tuple[str, ...] = ("pay",), **section: Any
     ) -> SubscribedProxy:
         """A proxy that runs until the party `umpire` is killed."""
-        self.lives += 1
-        told = proxy_terms(listen="10.0.6.1:8000", launcher={"address": "10.0.4.1:7002"}).model_dump()
-        at = [{"name": name, "address": address, "zone": ZONES[name]} for name, address in RELAYS.items()]
-        follow = {"switched_on": True, "at": at, "services": list(services), **section}
-        terms = SubscribedProxyConfig.model_validate({**told, "relays": follow}).without_discovery()
-        party = self.scene.add_host("umpire", "10.0.6.1", "a")
+        self.started_proxies += 1
+        settings = proxy_terms(listen="10.0.6.1:8000", launcher={"address": "10.0.4.1:7002"}).model_dump()
+        relay_endpoints = [
+            {"name": name, "address": address, "zone": ZONES[name]} for name, address in RELAYS.items()
+        ]
+        relays_section = {"switched_on": True, "at": relay_endpoints, "services": list(services), **section}
+        config = SubscribedProxyConfig.model_validate(
+            {**settings, "relays": relays_section}
+        ).without_discovery()
+        host = self.scene.add_host("umpire", "10.0.6.1", "a")
         log = self.scene.log_of("umpire")
-        running = ProxyInstance(
-            terms,
-            net=party,  # type: ignore[arg-type]
-            seed=self.lives,
-            state_store=self.memory,
+        instance = ProxyInstance(
+            config,
+            net=host,  # type: ignore[arg-type]
+            seed=self.started_proxies,
+            state_store=self.endpoint_state_store,
             log=log,
             wall=self.scene.wall,
         )
-        made = SubscribedProxy(
-            terms, running, running, network=party, state_store=kept, wall=self.scene.wall, log=log
+        new_proxy = SubscribedProxy(
+            config,
+            instance,
+            instance,
+            network=host,
+            state_store=subscription_store,
+            wall=self.scene.wall,
+            log=log,
         )
 
-        async def live(started: anyio.Event) -> None:
-            async with made:
+        async def run_proxy(started: anyio.Event) -> None:
+            async with new_proxy:
                 started.set()
                 await anyio.sleep_forever()
 
-        await self.scene.begin("umpire", live)
-        return made
+        await self.scene.begin("umpire", run_proxy)
+        return new_proxy
 
     async def ask(self, path: str) -> int:
         client = self.scene.add_host("client", "10.0.7.1", "a")
@@ -115,14 +127,14 @@
     await scene.origin()
     for name in relays:
         await scene.relay(name)
-    around = ProxyScene(scene)
-    await around.begin()
-    return around
+    proxy_scene = ProxyScene(scene)
+    await proxy_scene.begin()
+    return proxy_scene
 
 
-def endpoints_of(*names: str, service: str = "pay") -> list[tuple[str, str, Any]]:
+def endpoint_entries(*names: str, service: str = "pay") -> list[tuple[str, str, Any]]:
     return [(f"boxes/{service}", SERVERS[name], server()) for name in names]
 
 
-def configured(*paths: str, service: str = "pay") -> list[tuple[str, str, Any]]:
+def configuration_entries(*paths: str, service: str = "pay") -> list[tuple[str, str, Any]]:
     return [(f"config/{service}", "routes", routes(*paths))]
