--- a/tests/distribution/test_config.py
+++ b/tests/distribution/test_config.py
@@ -1,4 +1,4 @@
-"""Files of an origin, a relay and a proxy, and what is loaded where these are off."""
+"""Tests of the configuration files of origins, relays and proxies, and of the modules loaded without them."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         (RelayConfig, RELAY_FILE, ":7400", ":7401", "source is where this relay listens"),
     ],
 )
-def test_bad_origin_or_relay_file_names_line_and_key(
+def test_invalid_origin_or_relay_file_is_rejected_with_line_and_key(
     model: type, text: str, line: str, replacement: str, message: str
 ) -> None:
     parse_yaml(text, "file", model)
@@ -60,7 +60,7 @@
 RELAYS = '"at": [{"name": "r", "address": "127.0.0.1:1", "zone": "a"}]'
 
 
-def test_section_without_switched_on_does_nothing() -> None:
+def test_proxy_subscribes_only_where_the_relays_section_is_switched_on() -> None:
     for section, expected in (
         ("null", False),
         (f'{{{RELAYS}, "services": ["pay"]}}', False),
@@ -90,12 +90,12 @@
         ),
     ],
 )
-def test_bad_section_names_line_and_key(section: str, message: str) -> None:
+def test_invalid_relays_section_is_rejected_with_line_and_key(section: str, message: str) -> None:
     with pytest.raises(InvalidFileError, match=message):
         parse_yaml(proxy_file(section), "umpire.yaml", SubscribedProxyConfig)
 
 
-def test_discovery_is_not_needed_where_relays_are_subscribed_to() -> None:
+def test_discovery_settings_are_required_only_without_a_relay_subscription() -> None:
     settings = proxy_terms().model_dump(mode="json")
     del settings["roster"]
     relays_section = {"switched_on": True, **json.loads(f"{{{RELAYS}}}"), "services": ["pay"]}
@@ -118,6 +118,6 @@
     assert loaded_by("gullmount.platform.__main__", "gullmount.distribution") == "[]"
 
 
-def test_proxy_without_the_section_loads_only_the_config() -> None:
+def test_proxy_without_the_relays_section_loads_only_the_distribution_config() -> None:
     found = loaded_by("gullmount.commands.proxy", "gullmount.distribution")
     assert found == "['gullmount.distribution', 'gullmount.distribution.config']"
--- a/tests/distribution/test_relay.py
+++ b/tests/distribution/test_relay.py
@@ -1,4 +1,4 @@
-"""Relays without the origin, after a pause, and with unused topics."""
+"""Tests of relays: behavior without the origin, after a process pause, and for unused topics."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.support.distribution_scene import ORIGIN, RELAYS, Scene, run_scene
 
 
-def test_relay_that_has_not_reached_the_origin_sends_nothing() -> None:
+def test_relay_that_has_not_reached_the_origin_refuses_subscribers() -> None:
     async def scenario(scene: Scene) -> None:
         await scene.relay("a1")
         first_subscriber = scene.subscriber("one", ["pay"])
@@ -31,7 +31,7 @@
     run_scene(scenario)
 
 
-def test_unused_topics_are_kept_while_the_origin_is_gone() -> None:
+def test_relay_keeps_unused_topics_while_the_origin_is_down() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(1)
@@ -47,7 +47,7 @@
     run_scene(scenario)
 
 
-def test_paused_relay_checks_with_the_origin_before_it_sends() -> None:
+def test_relay_resumed_after_a_pause_syncs_with_the_origin_before_it_sends_updates() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene)
         scene.configure(1)
@@ -60,7 +60,8 @@
         scene.configure(2)
         await anyio.sleep(1)
         assert scene.relays["a1"].store.version("config/pay").revision == 1
-        scene.clocks["a1"].offset_seconds += 60.0  # as a stop of a minute does
+        # Simulates a pause of the process for one minute: the clock jumps by 60 s.
+        scene.clocks["a1"].offset_seconds += 60.0
         new_subscriber = scene.subscriber("new", ["pay"], relays={"a1": RELAYS["a1"]})
         await anyio.sleep(2)
         assert scene.logged("a1", LogEvent.PROCESS_PAUSE_DETECTED) and not new_subscriber.synced.is_set()
@@ -73,7 +74,7 @@
     run_scene(scenario)
 
 
-def test_paused_relay_without_the_origin_sends_after_a_while() -> None:
+def test_relay_resumed_after_a_pause_sends_updates_after_a_timeout_when_the_origin_is_down() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(1)
@@ -88,7 +89,7 @@
     run_scene(scenario)
 
 
-def test_unused_topics_are_dropped_and_requested_again() -> None:
+def test_relay_drops_an_unused_topic_and_requests_it_again_for_a_new_subscriber() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(1)
--- a/tests/distribution/test_relay_selection.py
+++ b/tests/distribution/test_relay_selection.py
@@ -1,4 +1,4 @@
-"""Which relay a subscriber connects to and when."""
+"""Tests of relay selection: which relay a subscriber connects to, and when."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return [RelayEndpoint(f"{zone}-{number}", zone) for number, zone in enumerate(zones)]
 
 
-def test_relays_of_the_own_zone_come_first_and_others_when_all_fail() -> None:
+def test_relays_of_the_subscribers_zone_are_tried_first_and_other_zones_after_all_fail() -> None:
     first_choices: Counter[str] = Counter()
     later_choices: Counter[str] = Counter()
     for seed in range(300):
@@ -36,7 +36,7 @@
     assert set(later_choices) == {"b-2", "b-3", "c-4"} and min(later_choices.values()) > 65
 
 
-def test_backoff_doubles_with_jitter_up_to_a_bound() -> None:
+def test_backoff_doubles_with_jitter_up_to_the_maximum() -> None:
     single_relay = [RelayEndpoint("source")]
     last_waits = []
     for seed in range(50):
@@ -51,7 +51,7 @@
         assert max(waits) <= relay_selection.MAX_BACKOFF_SECONDS + relay_selection.MOVE_SPREAD_SECONDS
         assert min(waits[6:]) >= relay_selection.MAX_BACKOFF_SECONDS * (1 - relay_selection.BACKOFF_JITTER)
         last_waits.append(waits[-1])
-    assert max(last_waits) - min(last_waits) > 5.0, "a ramp when the source is back"
+    assert max(last_waits) - min(last_waits) > 5.0, "reconnects are not spread after the origin returns"
 
 
 def test_backoff_doubles_also_after_a_stable_stream() -> None:
@@ -65,7 +65,7 @@
     assert waits[0] < 2.0 and waits[-1] > 7.0
 
 
-def test_subscribers_of_a_killed_relay_spread_over_time_and_over_the_others() -> None:
+def test_subscribers_of_a_killed_relay_reconnect_spread_over_time_and_remaining_relays() -> None:
     relays = relays_of_zones("abcdefgh")
     connected_times, chosen = [], Counter()
     for seed in range(235):
@@ -88,7 +88,7 @@
     assert max(Counter(int(connected_at * 10) for connected_at in connected_times).values()) < 60
 
 
-def test_return_to_the_own_zone_is_spread_and_rarer_while_it_fails() -> None:
+def test_returns_to_the_own_zone_are_spread_and_retried_less_often_while_they_fail() -> None:
     relays = relays_of_zones("ab")
     return_times = []
     for seed in range(235):
@@ -116,7 +116,7 @@
     assert 10 < len(return_attempts) < 25
 
 
-def test_silence_deadline_follows_bytes_and_whole_lines() -> None:
+def test_silence_deadline_depends_on_the_last_byte_and_the_last_whole_line() -> None:
     selector = RelaySelector(relays_of_zones(), "a", Random(1))
     selector.connected(selector.relays[0], 10.0)
     assert selector.silence_deadline() == 10.0 + relay_selection.SILENCE_TIMEOUT_SECONDS
@@ -129,7 +129,7 @@
     assert selector.silence_deadline() == 70.0 + relay_selection.SILENCE_TIMEOUT_SECONDS
 
 
-def test_relay_with_retry_after_is_avoided_for_that_time() -> None:
+def test_relay_is_not_retried_before_its_retry_after_which_is_capped() -> None:
     selector = RelaySelector(relays_of_zones("ab"), "a", Random(1))
     own, other = selector.relays
     selector.turned_down(own, 0.0, 10.0)
@@ -146,7 +146,7 @@
     assert selector.health[own.address].failures == 1
 
 
-def test_lagging_relay_is_left_and_seldom_while_all_lag() -> None:
+def test_subscriber_leaves_a_lagging_relay_but_moves_rarely_while_all_relays_lag() -> None:
     selector, now, moves = RelaySelector(relays_of_zones("aab"), "a", Random(3)), 0.0, []
     selector.connected(selector.relays[0], now)
     for second in range(7_200):
--- a/tests/distribution/test_subscribed_proxy.py
+++ b/tests/distribution/test_subscribed_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy that receives endpoints and routes from relays, in memory and virtual time."""
+"""Tests of a proxy that receives endpoints and routes from relays, in memory and virtual time."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 )
 
 
-def test_proxy_accepts_no_request_before_the_configuration_is_in_force() -> None:
+def test_proxy_does_not_listen_before_its_configuration_is_in_force() -> None:
     async def scenario(scene: Scene) -> None:
         proxy_scene = await start_proxy_scene(scene)
         scene.origins[-1].commit(endpoint_entries("one") + configuration_entries("/new"))
@@ -38,7 +38,8 @@
         with anyio.fail_after(60):
             await new_proxy.listening.wait()
         assert await proxy_scene.ask("/new") == 200 and proxy_scene.requested_servers == ["one"]
-        assert await proxy_scene.ask("/pay") == 200  # a route of its file's stands beside
+        # The route of the proxy's own file stays in force beside the received ones.
+        assert await proxy_scene.ask("/pay") == 200
 
     run_scene(scenario)
 
@@ -73,7 +74,7 @@
     run_scene(scenario)
 
 
-def test_request_whose_route_is_removed_while_it_arrives_gets_its_response() -> None:
+def test_request_whose_route_is_removed_while_its_body_arrives_is_completed() -> None:
     async def scenario(scene: Scene) -> None:
         proxy_scene = await start_proxy_scene(scene, "a1")
         scene.origins[-1].commit(endpoint_entries("one") + configuration_entries("/old"))
@@ -91,7 +92,7 @@
     run_scene(scenario)
 
 
-def test_unusable_configuration_is_named_at_the_origin_and_the_old_stays() -> None:
+def test_unusable_configuration_is_reported_by_the_origin_and_the_old_one_stays_in_force() -> None:
     async def scenario(scene: Scene) -> None:
         proxy_scene = await start_proxy_scene(scene, "a1")
         origin = scene.origins[-1]
@@ -179,7 +180,7 @@
         await scene.relay("a1")
         scene.origins[-1].commit(configuration_entries("/newer"))
         await scene.until(lambda: "newer" in restarted_proxy.running.runtime.router.settings.routes)
-        assert restarted_proxy.subscriber.counters.snapshots == 0  # it got what changed, not all anew
+        assert restarted_proxy.subscriber.counters.snapshots == 0  # It received changes, not a snapshot.
 
     run_scene(scenario)
 
@@ -207,7 +208,7 @@
     run_scene(scenario)
 
 
-def test_proxy_that_was_down_starts_with_what_changed_since() -> None:
+def test_proxy_restarted_after_a_change_starts_with_the_new_configuration() -> None:
     async def scenario(scene: Scene) -> None:
         proxy_scene = await start_proxy_scene(scene, "a1")
         scene.origins[-1].commit(endpoint_entries("one") + configuration_entries("/old"))
@@ -228,7 +229,7 @@
     run_scene(scenario)
 
 
-def test_unreadable_remembered_state_counts_as_none() -> None:
+def test_unreadable_remembered_state_is_logged_and_ignored() -> None:
     async def scenario(scene: Scene) -> None:
         proxy_scene = await start_proxy_scene(scene, "a1")
         scene.origins[-1].commit(endpoint_entries("one") + configuration_entries("/old"))
@@ -243,7 +244,7 @@
     run_scene(scenario)
 
 
-def test_endpoint_in_two_services_is_removed_with_the_last_of_them() -> None:
+def test_endpoint_of_two_services_stays_until_both_services_remove_it() -> None:
     async def scenario(scene: Scene) -> None:
         proxy_scene = await start_proxy_scene(scene, "a1")
         origin = scene.origins[-1]
@@ -261,7 +262,7 @@
     run_scene(scenario)
 
 
-def test_malformed_endpoint_is_left_out_and_the_others_applied() -> None:
+def test_malformed_endpoints_are_skipped_and_the_others_applied() -> None:
     async def scenario(scene: Scene) -> None:
         proxy_scene = await start_proxy_scene(scene, "a1")
         origin = scene.origins[-1]
@@ -278,7 +279,7 @@
     run_scene(scenario)
 
 
-def test_age_of_an_endpoint_grows_in_transit() -> None:
+def test_age_of_an_endpoint_includes_the_time_since_it_was_reported() -> None:
     async def scenario(scene: Scene) -> None:
         proxy_scene = await start_proxy_scene(scene, "a1")
         client = scene.add_host("asker", "10.0.8.1", "s")
@@ -291,7 +292,8 @@
         await post("x", 2.0)
         await anyio.sleep(50)
         before = scene.origins[-1].store.as_of
-        await post("x", 52.3)  # the same start, told anew: nothing has changed
+        # The same start reported again changes nothing.
+        await post("x", 52.3)
         assert scene.origins[-1].store.as_of == before
         new_proxy = await proxy_scene.proxy(ProcessMemory())
         with anyio.fail_after(60):
@@ -325,7 +327,7 @@
     run_scene(scenario)
 
 
-def test_proxy_that_owns_leased_work_and_subscribes_to_relays() -> None:
+def test_leasing_proxy_that_subscribes_to_relays_serves_requests_and_releases_its_leases_on_stop() -> None:
     async def scenario(scene: Scene) -> None:
         proxy_scene = await start_proxy_scene(scene, "a1")
         scene.origins[-1].commit(endpoint_entries("one") + configuration_entries("/new"))
@@ -359,7 +361,7 @@
     run_scene(scenario)
 
 
-def test_new_epoch_leaves_routes_and_endpoints_as_they_are() -> None:
+def test_new_epoch_of_the_origin_keeps_routes_and_endpoints_in_force() -> None:
     async def scenario(scene: Scene) -> None:
         proxy_scene = await start_proxy_scene(scene, "a1")
         changes = endpoint_entries("one") + configuration_entries("/new")
--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -1,4 +1,4 @@
-"""Subscribers receive their services only, and the newest only."""
+"""Tests that subscribers receive only the services they subscribe to, and only the newest state."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.support.distribution_scene import RELAYS, RecordingHandler, Scene, run_scene
 
 
-def test_subscriber_receives_its_services_and_nothing_else() -> None:
+def test_subscriber_receives_only_the_services_it_subscribes_to() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene)
         scene.origins[-1].commit(endpoint_changes("pay", 3) + endpoint_changes("sell", 900))
@@ -41,7 +41,7 @@
     run_scene(scenario)
 
 
-def test_subscriber_paused_for_longer_than_the_history_gets_the_newest_once() -> None:
+def test_subscriber_cut_off_beyond_the_history_receives_the_newest_state_once() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.origins[-1].commit(endpoint_changes("pay", 10))
@@ -51,7 +51,8 @@
         )
         await scene.until(new_subscriber.synced.is_set)
         restore_link = scene.cut("one", RELAYS["a1"])
-        for number in range(400):  # more ends than are remembered
+        # 400 removals: more than the history holds.
+        for number in range(400):
             key = f"10.2.0.{number}:80"
             scene.origins[-1].commit([("boxes/pay", key, SERVER)])
             scene.configure(number)
@@ -70,7 +71,7 @@
     run_scene(scenario)
 
 
-def test_change_reverted_and_made_again_while_a_subscriber_is_away() -> None:
+def test_change_reverted_and_reapplied_while_a_subscriber_is_cut_off_is_applied_once() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(1)
@@ -93,7 +94,7 @@
     run_scene(scenario)
 
 
-def test_subscribers_share_a_process_and_wake_only_for_updates() -> None:
+def test_200_subscribers_in_one_process_receive_only_heartbeats_while_nothing_changes() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene)
         fallback_network, recorder = MemoryNet(), RecordingHandler()
--- a/tests/distribution/test_subscriber_server.py
+++ b/tests/distribution/test_subscriber_server.py
@@ -1,4 +1,4 @@
-"""Requests and connections that a server refuses."""
+"""Tests of requests and connections that a relay refuses or closes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.support.distribution_scene import RELAYS, Scene, run_scene
 
 
-def test_later_stream_of_the_same_name_ends_the_earlier_at_once() -> None:
+def test_second_stream_of_a_subscriber_closes_the_first_at_once() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.origins[-1].commit(endpoint_changes("pay", 2000, size=100))
@@ -21,7 +21,8 @@
         streams = []
         for _ in range(2):
             stream = await scene.add_host("x", "10.0.8.1", "a").connect(RELAYS["a1"])
-            await stream.send(head % len(body) + body)  # and nothing is read: a write hangs
+            # The client reads nothing, so the relay's write blocks.
+            await stream.send(head % len(body) + body)
             streams.append(stream)
             await scene.until(lambda: relay.open_connections == 1 and "x" in relay.streams)
             await anyio.sleep(3)
@@ -65,7 +66,7 @@
     run_scene(scenario)
 
 
-def test_overlong_body_ends_its_connection() -> None:
+def test_oversized_request_body_closes_the_connection() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         client = scene.add_host("asker", "10.0.8.1", "s")
@@ -77,7 +78,7 @@
     run_scene(scenario)
 
 
-def test_connections_and_subscribers_are_bounded() -> None:
+def test_connections_and_subscribers_above_their_limits_are_refused() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         relay = scene.relays["a1"]
--- a/tests/distribution/test_subscription_client.py
+++ b/tests/distribution/test_subscription_client.py
@@ -1,4 +1,4 @@
-"""Subscriptions on a network that fails: broken lines, lost relays, repeated reports."""
+"""Tests of subscriptions on a failing network: malformed lines, lost relays, repeated acknowledgements."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_relay_killed_while_it_sends_a_snapshot(seed: int) -> None:
+def test_snapshot_is_applied_whole_from_another_relay_when_its_sender_is_killed(seed: int) -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene)
         scene.origins[-1].commit(endpoint_changes("pay", 1000, size=600))
         scene.configure(4)
-        scene.links.same_zone_delay = 0.1  # s for each piece of 64 KiB
+        scene.links.same_zone_delay = 0.1  # Seconds per 64 KiB chunk.
         new_subscriber, handler = scene.subscriber("one", ["pay"]), scene.handlers["one"]
         await scene.until(lambda: new_subscriber.counters.bytes_in > 200_000)
         assert not new_subscriber.synced.is_set() and not handler.endpoints_of
@@ -39,7 +39,7 @@
     run_scene(scenario, seed)
 
 
-def test_subscribers_of_a_killed_relay_are_at_others_within_seconds_without_snapshots() -> None:
+def test_subscribers_of_a_killed_relay_move_within_5_seconds_without_new_snapshots() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1", "a2", "b1")
         scene.origins[-1].commit(endpoint_changes("pay", 20))
@@ -68,7 +68,7 @@
     run_scene(scenario)
 
 
-def test_without_the_origin_subscribers_keep_their_state_and_stop_moving() -> None:
+def test_subscribers_keep_their_state_and_rarely_change_relays_while_the_origin_is_down() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene)
         scene.configure(1)
@@ -91,7 +91,7 @@
     run_scene(scenario)
 
 
-def test_relay_that_is_behind_reverts_nothing() -> None:
+def test_move_to_a_lagging_relay_does_not_revert_the_configuration() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene)
         scene.configure(1)
@@ -120,7 +120,10 @@
 
 
 async def start_scripted_relay(scene: Scene, address: str, *lines: bytes, afterwards: str = "stay") -> None:
-    """Stands for a relay: answers each follow by these lines, and what `then` says."""
+    """Start a relay substitute that sends these lines to each subscriber.
+
+    Afterwards it keeps the stream open ("stay"), closes it after 1000 s ("hang") or at once ("close").
+    """
 
     async def handle_stream(stream: Stream) -> None:
         try:
@@ -147,7 +150,9 @@
 
 
 @pytest.mark.parametrize("status", [503, 404])
-def test_report_that_is_not_accepted_is_repeated(status: int) -> None:
+def test_acknowledgement_refused_with_503_is_repeated_and_with_404_leads_to_a_new_subscription(
+    status: int,
+) -> None:
     async def scenario(scene: Scene) -> None:
         subscribe_bodies: list[bytes] = []
         acknowledgements: list[bytes] = []
@@ -174,16 +179,15 @@
             await scene.until(lambda: len(acknowledgements) == 2)
             assert acknowledgements[0] == acknowledgements[1] and len(subscribe_bodies) == 1
         else:
-            await scene.until(
-                lambda: len(subscribe_bodies) == 2, within=4
-            )  # before the stream counts as silent
+            # 4 s is shorter than the silence timeout of the stream.
+            await scene.until(lambda: len(subscribe_bodies) == 2, within=4)
             assert b'"config/pay":[1796000000000,6]' in subscribe_bodies[1]
 
     run_scene(scenario)
 
 
 @pytest.mark.parametrize("afterwards", ["close", "hang"])
-def test_half_a_line_is_not_applied(afterwards: str) -> None:
+def test_incomplete_line_is_not_applied(afterwards: str) -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(3)
@@ -251,7 +255,7 @@
     run_scene(scenario)
 
 
-def test_overlong_line_ends_the_stream_and_the_subscriber_moves() -> None:
+def test_oversized_line_closes_the_stream_and_the_subscriber_moves() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(3)
--- a/tests/distribution/test_update_stream.py
+++ b/tests/distribution/test_update_stream.py
@@ -1,4 +1,4 @@
-"""Slow subscribers, and the rate of one."""
+"""Tests of update streams to slow subscribers and of the rate limit per subscriber."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.support.distribution_scene import RELAYS, Scene, run_scene
 
 
-def test_subscriber_at_a_byte_a_second_does_not_slow_others() -> None:
+def test_subscriber_that_reads_one_byte_per_second_does_not_delay_others() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         for number in range(5):
@@ -44,7 +44,7 @@
     run_scene(scenario)
 
 
-def test_rate_bounds_bytes_and_configuration_does_not_wait_for_endpoints() -> None:
+def test_rate_limit_bounds_bytes_and_configuration_is_sent_before_queued_endpoints() -> None:
     async def scenario(scene: Scene) -> None:
         await fleet(scene, "a1")
         services = [f"s{number}" for number in range(12)]
--- a/tests/support/distribution_scene.py
+++ b/tests/support/distribution_scene.py
@@ -1,4 +1,4 @@
-"""An origin, relays and subscribers in memory and virtual time, with links that fail between them."""
+"""Runs an origin, relays and subscribers in memory and virtual time, with faults on their links."""
 
 from __future__ import annotations
 
@@ -25,17 +25,24 @@
 ORIGIN = "10.0.0.1:7400"
 RELAYS = {"a1": "10.0.1.1:7401", "a2": "10.0.1.2:7401", "b1": "10.0.1.3:7401"}
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
-WALL_CLOCK_START_SECONDS = 1_796_000_000.0  # s
+# Unix time at the start of virtual time.
+WALL_CLOCK_START_SECONDS = 1_796_000_000.0
 
 
 class RecordingHandler:
-    """Puts in force what a subscriber receives, as a proxy would. `refuses`: numbers it can't use."""
+    """Applies and records the updates that a subscriber receives, in place of a proxy.
+
+    Raises UnusableUpdateError for a configuration whose number is in `refuses`.
+    """
 
     def __init__(self) -> None:
         self.endpoints_of: dict[str, dict[str, Any]] = {}
-        self.number: dict[str, int] = {}  # the configuration in force, by service
-        self.calls: list[tuple[str, str, bool, int]] = []  # kind, service, whole, entries
-        self.numbers: list[tuple[str, int]] = []  # all configurations put in force, in their order
+        # Number of the configuration in force, by service.
+        self.number: dict[str, int] = {}
+        # Kind, service, whole flag and entry count of each call.
+        self.calls: list[tuple[str, str, bool, int]] = []
+        # Service and number of each applied configuration, in order.
+        self.numbers: list[tuple[str, int]] = []
         self.refuses: set[int] = set()
 
     def apply_endpoints(self, service: str, whole: bool, entries: Mapping[str, Any | None]) -> None:
@@ -51,13 +58,13 @@
         self.calls.append(("config", service, False, len(entries)))
         number = (entries.get("routes") or {"n": 0})["n"]
         if number in self.refuses:
-            raise UnusableUpdateError(f"no use for {number}")
+            raise UnusableUpdateError(f"unusable configuration {number}")
         self.number[service] = number
         self.numbers.append((service, number))
 
 
 class Clock:
-    """The loop's clock; `ahead` is how far a pause has made it jump, in seconds."""
+    """The event loop's clock plus an offset; raising the offset simulates a pause of the process."""
 
     def __init__(self) -> None:
         self.offset_seconds = 0.0
@@ -67,6 +74,8 @@
 
 
 class Scene:
+    """An origin, relays and subscribers of one test, with their hosts, storage and logs."""
+
     def __init__(self, tasks: TaskGroup, rate: int | None = None) -> None:
         self.tasks = tasks
         self.rate = rate
@@ -182,7 +191,7 @@
         await self.ended[participant].wait()
 
     def cut(self, host_name: str, other_address: str) -> Callable[[], None]:
-        """Cut the link from this party to that address; a call of the result restores it."""
+        """Cut the link between a host and an address both ways; the returned function restores it."""
         link = self.links.link_between((self.hosts[host_name].host, other_address))
         link.begin_fault("cut", "both", 0.0)
         return lambda: link.end_fault("cut", "both", 0.0)
@@ -194,7 +203,7 @@
         return all(recorder.number.get(service) == number for recorder in self.handlers.values())
 
     async def until(self, condition: Callable[[], bool], within: float = 120.0) -> float:
-        """Wait until it is true; the seconds that it took."""
+        """Wait until the condition holds and return the elapsed seconds; fail after `within` seconds."""
         started_at = anyio.current_time()
         with anyio.fail_after(within):
             while not condition():
@@ -202,7 +211,7 @@
         return anyio.current_time() - started_at
 
     async def in_force(self) -> dict[str, Any]:
-        """What the origin reports to be in force."""
+        """Return the origin's report of the versions in force."""
         client = HostNetwork(self.links, "10.0.9.9", "asker", "s", self.tasks)
         _, body = await call(client, ORIGIN, "GET", "/v1/in-force")
         report: dict[str, Any] = msgspec.json.decode(body)
--- a/tests/support/subscribed_proxy_scene.py
+++ b/tests/support/subscribed_proxy_scene.py
@@ -1,4 +1,4 @@
-"""Subscribed proxies in a scene with an origin and relays, servers and a release controller."""
+"""Runs a subscribed proxy with an origin, relays, servers and a release controller."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ProcessMemory:
-    """A memory that outlives a proxy."""
+    """Keeps the saved state of a proxy in memory across restarts of the proxy."""
 
     def __init__(self) -> None:
         self.data: bytes | None = None
@@ -44,15 +44,15 @@
 
 
 class ProxyScene:
-    """A release controller, servers and proxies of a scene."""
+    """The release controller, servers and proxies that are added to a scene."""
 
     def __init__(self, scene: Scene) -> None:
         self.scene = scene
-        self.requested_servers: list[str] = []  # endpoints that were sent a request, in their order
+        # Names of the servers that received requests, in order.
+        self.requested_servers: list[str] = []
         self.started_proxies = 0
-        self.endpoint_state_store: ProcessMemory | None = (
-            None  # of the proxy within, beside that of what relays told
-        )
+        # State store of the wrapped proxy, separate from the store of the state received from relays.
+        self.endpoint_state_store: ProcessMemory | None = None
 
     async def begin(self) -> None:
         async def release_controller(stream: Stream) -> None:
@@ -63,6 +63,8 @@
             await self.serve(address, self.respond_and_record(name))
 
     def respond_and_record(self, name: str) -> Any:
+        """Return a stream handler that records the server name and responds 200 to each read."""
+
         async def handle_stream(stream: Stream) -> None:
             try:
                 while await stream.receive():
@@ -80,7 +82,7 @@
     async def proxy(
         self, subscription_store: ProcessMemory, services: tuple[str, ...] = ("pay",), **section: Any
     ) -> SubscribedProxy:
-        """A proxy that runs until the party `umpire` is killed."""
+        """Start a proxy that runs until `scene.kill("umpire")`."""
         self.started_proxies += 1
         settings = proxy_terms(listen="10.0.6.1:8000", launcher={"address": "10.0.4.1:7002"}).model_dump()
         relay_endpoints = [
@@ -119,11 +121,13 @@
         return new_proxy
 
     async def ask(self, path: str) -> int:
+        """Send a request through the proxy and return the response status."""
         client = self.scene.add_host("client", "10.0.7.1", "a")
         return (await call(client, "10.0.6.1:8000", "POST", path, b"a"))[0]
 
 
 async def start_proxy_scene(scene: Scene, *relays: str) -> ProxyScene:
+    """Start the origin, the named relays, the servers and the release controller."""
     await scene.origin()
     for name in relays:
         await scene.relay(name)
