--- a/tests/distribution/test_subscribed_proxy.py
+++ b/tests/distribution/test_subscribed_proxy.py
@@ -340,7 +340,7 @@
         file_settings["relays"] = {"switched_on": True, "at": relay_endpoints, "services": ["pay"]}
         config = ProxyFile.model_validate(file_settings).without_discovery()
         proxy_network = scene.add_host("umpire", "10.0.6.1", "a")
-        log = scene.log_of("umpire")
+        log = scene.logger_for("umpire")
         leasing_proxy = LeasingProxy(config, net=proxy_network, seed=1, log=log)  # type: ignore[arg-type]
         new_proxy = SubscribedProxy(
             config,
--- a/tests/distribution/test_subscription_client.py
+++ b/tests/distribution/test_subscription_client.py
@@ -139,7 +139,7 @@
         except STREAM_ERRORS:
             pass
 
-    await scene.begin(
+    await scene.start_participant(
         "scripted", lambda started: serve_scripted_relay(scene, address, handle_stream, started)
     )
 
@@ -171,7 +171,7 @@
         async def handle_stream(stream: Stream) -> None:
             await serve(stream, respond)
 
-        await scene.begin(
+        await scene.start_participant(
             "scripted", lambda started: serve_scripted_relay(scene, RELAYS["a2"], handle_stream, started)
         )
         scene.subscriber("one", ["pay"], relays={"a2": RELAYS["a2"]})
--- a/tests/support/distribution_scene.py
+++ b/tests/support/distribution_scene.py
@@ -100,7 +100,7 @@
         self.hosts[name] = HostNetwork(self.links, host, name, zone, self.tasks)
         return self.hosts[name]
 
-    def log_of(self, participant: str) -> Callable[..., None]:
+    def logger_for(self, participant: str) -> Callable[..., None]:
         def log(event: str, **fields: Any) -> None:
             self.logs.append((participant, event, fields))
 
@@ -113,13 +113,13 @@
             if (logger, logged_event) == (participant, event)
         ]
 
-    async def begin(self, participant: str, run: Callable[..., Awaitable[None]]) -> None:
+    async def start_participant(self, participant: str, run: Callable[..., Awaitable[None]]) -> None:
         started = anyio.Event()
 
-        async def run_until_started() -> None:
+        async def run_and_signal_start() -> None:
             await run(started)
 
-        self.run_in_background(participant, run_until_started)
+        self.run_in_background(participant, run_and_signal_start)
         with anyio.fail_after(10):
             await started.wait()
 
@@ -139,11 +139,11 @@
             OriginConfig.model_validate(settings),
             network=host_network,
             storage=self.origin_storage,
-            log=self.log_of("source"),
+            log=self.logger_for("source"),
             wall=lambda: self.wall() + self.wall_offset,
         )
         self.origins.append(new_origin)
-        await self.begin("source", new_origin.run)
+        await self.start_participant("source", new_origin.run)
         return new_origin
 
     async def relay(self, name: str) -> Relay:
@@ -155,11 +155,11 @@
             RelayConfig.model_validate({**settings, "source": ORIGIN, "rate": self.rate}),
             network=host_network,
             random=Random(self.created_count),
-            log=self.log_of(name),
+            log=self.logger_for(name),
             clock=clock,
             wall=self.wall,
         )
-        await self.begin(name, new_relay.run)
+        await self.start_participant(name, new_relay.run)
         return new_relay
 
     def subscriber(
@@ -179,7 +179,7 @@
             network=host_network,
             random=Random(self.created_count),
             handler=recorder,
-            log=self.log_of(name),
+            log=self.logger_for(name),
             wall=self.wall,
         )
         self.run_in_background(name, new_subscriber.run)
--- a/tests/support/subscribed_proxy_scene.py
+++ b/tests/support/subscribed_proxy_scene.py
@@ -54,7 +54,7 @@
         # State store of the wrapped proxy, separate from the store of the state received from relays.
         self.endpoint_state_store: ProcessMemory | None = None
 
-    async def begin(self) -> None:
+    async def start_servers(self) -> None:
         async def release_controller(stream: Stream) -> None:
             await serve_watch(stream, {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}})
 
@@ -77,7 +77,9 @@
 
     async def serve(self, address: str, handle_stream: Any) -> None:
         host = self.scene.add_host(address, address.rpartition(":")[0], "a")
-        await self.scene.begin(address, lambda started: host.serve(address, handle_stream, started))
+        await self.scene.start_participant(
+            address, lambda started: host.serve(address, handle_stream, started)
+        )
 
     async def proxy(
         self, subscription_store: ProcessMemory, services: tuple[str, ...] = ("pay",), **section: Any
@@ -93,7 +95,7 @@
             {**settings, "relays": relays_section}
         ).without_discovery()
         host = self.scene.add_host("umpire", "10.0.6.1", "a")
-        log = self.scene.log_of("umpire")
+        log = self.scene.logger_for("umpire")
         instance = ProxyInstance(
             config,
             net=host,  # type: ignore[arg-type]
@@ -117,7 +119,7 @@
                 started.set()
                 await anyio.sleep_forever()
 
-        await self.scene.begin("umpire", run_proxy)
+        await self.scene.start_participant("umpire", run_proxy)
         return new_proxy
 
     async def ask(self, path: str) -> int:
@@ -132,7 +134,7 @@
     for name in relays:
         await scene.relay(name)
     proxy_scene = ProxyScene(scene)
-    await proxy_scene.begin()
+    await proxy_scene.start_participant()
     return proxy_scene
 
 
