--- a/tests/distribution/test_subscribed_proxy.py
+++ b/tests/distribution/test_subscribed_proxy.py
@@ -180,7 +180,8 @@
         await scene.relay("a1")
         scene.origins[-1].commit(configuration_entries("/newer"))
         await scene.until(lambda: "newer" in restarted_proxy.running.runtime.router.settings.routes)
-        assert restarted_proxy.subscriber.counters.snapshots == 0  # It received changes, not a snapshot.
+        # It received only what had changed, not a snapshot.
+        assert restarted_proxy.subscriber.counters.snapshots == 0
 
     run_scene(scenario)
 
--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -118,7 +118,8 @@
         await anyio.sleep(5)
         before = sum(each.counters.messages for each in subscribers)
         await anyio.sleep(20)
-        assert sum(each.counters.messages for each in subscribers) - before <= 200 * 11  # a line each 2 s
+        # Each subscriber receives one line per 2 s.
+        assert sum(each.counters.messages for each in subscribers) - before <= 200 * 11
         assert all(each.store.as_of >= Version(1, 0) for each in subscribers)
 
     run_scene(scenario)
--- a/tests/distribution/test_subscription_client.py
+++ b/tests/distribution/test_subscription_client.py
@@ -22,7 +22,8 @@
         await fleet(scene)
         scene.origins[-1].commit(endpoint_changes("pay", 1000, size=600))
         scene.configure(4)
-        scene.links.same_zone_delay = 0.1  # Seconds per 64 KiB chunk.
+        # The delay is in seconds per 64 KiB chunk.
+        scene.links.same_zone_delay = 0.1
         new_subscriber, handler = scene.subscriber("one", ["pay"]), scene.handlers["one"]
         await scene.until(lambda: new_subscriber.counters.bytes_in > 200_000)
         assert not new_subscriber.synced.is_set() and not handler.endpoints_of
--- a/tests/support/distribution_scene.py
+++ b/tests/support/distribution_scene.py
@@ -58,7 +58,7 @@
         self.calls.append(("config", service, False, len(entries)))
         number = (entries.get("routes") or {"n": 0})["n"]
         if number in self.refuses:
-            raise UnusableUpdateError(f"unusable configuration {number}")
+            raise UnusableUpdateError(f"no use for {number}")
         self.number[service] = number
         self.numbers.append((service, number))
 
@@ -80,33 +80,41 @@
         self.tasks = tasks
         self.rate = rate
         self.links = NetworkLinks(MemoryNet(), 1)
+        # Participant, event and fields of each log line.
         self.logs: list[tuple[str, str, dict[str, Any]]] = []
         self.scopes: dict[str, anyio.CancelScope] = {}
         self.ended: dict[str, anyio.Event] = {}
         self.hosts: dict[str, HostNetwork] = {}
         self.origin_storage = MemoryOriginStorage(remembered=True)
+        # Seconds added to the wall clock of the origin.
         self.wall_offset = 0.0
         self.origins: list[Origin] = []
         self.relays: dict[str, Relay] = {}
         self.clocks: dict[str, Clock] = {}
         self.handlers: dict[str, RecordingHandler] = {}
         self.subscribers: dict[str, Subscriber] = {}
+        # Relays and subscribers created so far: seeds their random numbers and numbers subscriber hosts.
         self.created_count = 0
 
     def wall(self) -> float:
+        """Return the wall clock in seconds."""
         return WALL_CLOCK_START_SECONDS + anyio.current_time()
 
     def add_host(self, name: str, host: str, zone: str) -> HostNetwork:
+        """Add the network of a host, in place of an earlier one of that name."""
         self.hosts[name] = HostNetwork(self.links, host, name, zone, self.tasks)
         return self.hosts[name]
 
     def logger_for(self, participant: str) -> Callable[..., None]:
+        """Return a log function that records lines under the participant's name."""
+
         def log(event: str, **fields: Any) -> None:
             self.logs.append((participant, event, fields))
 
         return log
 
     def logged(self, participant: str, event: str) -> list[dict[str, Any]]:
+        """Return the fields of each such log line of the participant."""
         return [
             fields
             for logger, logged_event, fields in self.logs
@@ -114,6 +122,7 @@
         ]
 
     async def start_participant(self, participant: str, run: Callable[..., Awaitable[None]]) -> None:
+        """Run it in the background and wait up to 10 s until it reports that it has started."""
         started = anyio.Event()
 
         async def run_and_signal_start() -> None:
@@ -124,6 +133,8 @@
             await started.wait()
 
     def run_in_background(self, participant: str, run: Callable[[], Awaitable[None]]) -> None:
+        """Run it in a cancel scope of its own, which `kill` cancels."""
+
         async def run_in_scope(scope: anyio.CancelScope, ended: anyio.Event) -> None:
             with scope:
                 await run()
@@ -133,6 +144,7 @@
         self.tasks.start_soon(run_in_scope, scope, ended)
 
     async def origin(self, **changes: Any) -> Origin:
+        """Start an origin on the storage of the scene; `changes` override its settings."""
         host_network = self.add_host("source", "10.0.0.1", "s")
         settings = {"listen": ORIGIN, "zones": ["a", "b"], "relays": ZONES, "kept": "none", **changes}
         new_origin = Origin(
@@ -147,6 +159,7 @@
         return new_origin
 
     async def relay(self, name: str) -> Relay:
+        """Start a relay that is listed in RELAYS."""
         host_network = self.add_host(name, RELAYS[name].rpartition(":")[0], ZONES[name])
         settings = {"name": name, "zones": ["a", "b"], "zone": ZONES[name], "listen": RELAYS[name]}
         self.created_count += 1
@@ -165,6 +178,7 @@
     def subscriber(
         self, name: str, services: list[str], zone: str = "a", relays: Mapping[str, str] | None = None
     ) -> Subscriber:
+        """Start a subscriber without waiting until it is synced; its handler outlives a restart."""
         self.created_count += 1
         host_network = self.add_host(name, f"10.0.2.{self.created_count}", zone)
         recorder = self.handlers.setdefault(name, RecordingHandler())
@@ -186,6 +200,7 @@
         return new_subscriber
 
     async def kill(self, participant: str) -> None:
+        """Kill its host, cancel its tasks and wait until they have ended."""
         await self.hosts[participant].kill()
         self.scopes[participant].cancel()
         await self.ended[participant].wait()
@@ -197,9 +212,11 @@
         return lambda: link.end_fault("cut", "both", 0.0)
 
     def configure(self, number: int, service: str = "pay") -> Any:
+        """Commit a configuration with this number at the newest origin; return its version."""
         return self.origins[-1].commit([(f"config/{service}", "routes", {"n": number})])
 
     def all_applied(self, number: int, service: str = "pay") -> bool:
+        """Return whether each subscriber has this configuration of the service in force."""
         return all(recorder.number.get(service) == number for recorder in self.handlers.values())
 
     async def until(self, condition: Callable[[], bool], within: float = 120.0) -> float:
@@ -219,6 +236,8 @@
 
 
 def run_scene(scene: Callable[[Scene], Awaitable[Any]], seed: int = 1, rate: int | None = None) -> Any:
+    """Run a test scene in virtual time and return its result."""
+
     async def run_tasks() -> Any:
         async with anyio.create_task_group() as tasks:
             new_scene = Scene(tasks, rate)
--- a/tests/support/subscribed_proxy_scene.py
+++ b/tests/support/subscribed_proxy_scene.py
@@ -35,11 +35,13 @@
 
 
 def server(**changes: Any) -> dict[str, Any]:
+    """Return the endpoint entry of a ready server, with changed fields."""
     entry = {"zone": "a", "cell": 0, "build": 1, "state": "ready", "power": 1.0, "start": None, "age": None}
     return {**entry, **changes}
 
 
 def routes(*paths: str) -> dict[str, Any]:
+    """Return a configuration with one route per path, named after the path."""
     return {"routes": [{**ROUTE, "name": path.strip("/"), "match": {"path": path}} for path in paths]}
 
 
@@ -55,6 +57,8 @@
         self.endpoint_state_store: ProcessMemory | None = None
 
     async def start_servers(self) -> None:
+        """Start the release controller and the servers."""
+
         async def release_controller(stream: Stream) -> None:
             await serve_watch(stream, {"news": {"build": 1, "stage": 1, "phase": "released", "cap": 1.0}})
 
@@ -76,6 +80,7 @@
         return handle_stream
 
     async def serve(self, address: str, handle_stream: Any) -> None:
+        """Serve streams at an address, on a host named after it."""
         host = self.scene.add_host(address, address.rpartition(":")[0], "a")
         await self.scene.start_participant(
             address, lambda started: host.serve(address, handle_stream, started)
@@ -134,13 +139,15 @@
     for name in relays:
         await scene.relay(name)
     proxy_scene = ProxyScene(scene)
-    await proxy_scene.start_participant()
+    await proxy_scene.start_servers()
     return proxy_scene
 
 
 def endpoint_entries(*names: str, service: str = "pay") -> list[tuple[str, str, Any]]:
+    """Return changes that add the named servers to a service."""
     return [(f"boxes/{service}", SERVERS[name], server()) for name in names]
 
 
 def configuration_entries(*paths: str, service: str = "pay") -> list[tuple[str, str, Any]]:
+    """Return changes that set the routes of a service."""
     return [(f"config/{service}", "routes", routes(*paths))]
