--- a/tests/distribution/test_random_faults.py
+++ b/tests/distribution/test_random_faults.py
@@ -63,7 +63,7 @@
         elif what == "cut down":
             self.mends.append(scene.cut(random.choice(sorted(scene.subscribers)), RELAYS[name]))
         elif what == "stop" and name in scene.clocks:
-            scene.clocks[name].ahead += 30.0
+            scene.clocks[name].offset_seconds += 30.0
         elif self.mends:
             self.mends.pop(random.randrange(len(self.mends)))()
 
