--- a/tests/distribution/test_update_stream.py
+++ b/tests/distribution/test_update_stream.py
@@ -51,6 +51,7 @@
         for service in services:
             scene.origins[-1].commit(endpoint_changes(service, 12))
         limited_subscriber = scene.subscriber("one", services, relays={"a1": RELAYS["a1"]})
+        # Bytes received in each interval of 0.1 s.
         bytes_by_interval: dict[int, int] = {}
         bytes_before, configured_at = 0, 0.0
         synced_at = 0.0
@@ -68,6 +69,7 @@
             if configured_at > 0 and scene.handlers["one"].number.get("s0") == 1:
                 configured_at -= 1000.0
             await anyio.sleep(0.01)
+        # A window is nine consecutive intervals.
         max_window_bytes = max(
             sum(bytes_by_interval.get(first + offset, 0) for offset in range(9))
             for first in bytes_by_interval
--- a/tests/support/distribution_scene.py
+++ b/tests/support/distribution_scene.py
@@ -36,6 +36,7 @@
     """
 
     def __init__(self) -> None:
+        # Endpoint entries by service and server address.
         self.endpoints_of: dict[str, dict[str, Any]] = {}
         # Number of the configuration in force, by service.
         self.number: dict[str, int] = {}
@@ -43,6 +44,7 @@
         self.calls: list[tuple[str, str, bool, int]] = []
         # Service and number of each applied configuration, in order.
         self.numbers: list[tuple[str, int]] = []
+        # Numbers of the configurations to reject.
         self.refuses: set[int] = set()
 
     def apply_endpoints(self, service: str, whole: bool, entries: Mapping[str, Any | None]) -> None:
