--- a/tests/distribution/test_origin.py
+++ b/tests/distribution/test_origin.py
@@ -29,7 +29,7 @@
 
         while [await lowest("a"), await lowest("b")] != [list(version)] * 2:
             await anyio.sleep(0.1)
-        scene.got["u5"].refuses.add(2)
+        scene.handlers["u5"].refuses.add(2)
         second = scene.configure(2)
         with anyio.fail_after(60):
             while not (zone := (await scene.in_force())["zones"]["b"]).get("unable_names"):
@@ -38,7 +38,7 @@
                 await anyio.sleep(0.1)
         assert zone["unable_names"] == [["u5", "config/pay", list(second), "no use for 2"]]
         assert zone["unable"] == 1
-        assert scene.got["u5"].number["pay"] == 1 and scene.got["u4"].number["pay"] == 2
+        assert scene.handlers["u5"].number["pay"] == 1 and scene.handlers["u4"].number["pay"] == 2
         report = await scene.in_force()
         assert {zone: summary["followers"] for zone, summary in report["zones"].items()} == {"a": 4, "b": 2}
         assert report["zones"]["b"]["lowest_used"] < list(second)
@@ -62,18 +62,18 @@
                     zone.get("gone_names", [])
                 )
                 await anyio.sleep(0.1)
-        assert scene.got["one"].number["pay"] == 1
+        assert scene.handlers["one"].number["pay"] == 1
 
     run_scene(check)
 
 
 def test_origin_without_stored_state_sends_a_topic_only_once_it_is_complete() -> None:
     async def check(scene: Scene) -> None:
-        scene.kept = MemoryOriginStorage()
+        scene.origin_storage = MemoryOriginStorage()
         await scene.origin(remembered=False)
         await scene.relay("a1")
-        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.got["one"]
-        client = scene.party("feeder", "10.0.8.1", "s")
+        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.handlers["one"]
+        client = scene.add_host("feeder", "10.0.8.1", "s")
 
         async def post(key: str, **extra_fields: Any) -> int:
             change = {"topic": "boxes/pay", "key": key, "value": SERVER}
@@ -96,7 +96,7 @@
     remembered: bool,
 ) -> None:
     async def check(scene: Scene) -> None:
-        scene.kept = MemoryOriginStorage(remembered)
+        scene.origin_storage = MemoryOriginStorage(remembered)
         await scene.origin(remembered=remembered)
         await scene.relay("a1")
         await scene.relay("a2")
@@ -104,8 +104,8 @@
             complete_topic_names = [] if remembered else ["config/pay", "boxes/pay"]
             scene.origins[-1].commit([("config/pay", "routes", {"n": number})], complete_topic_names)
         if remembered:
-            await scene.kept.append([("config/pay", "routes", {"n": 29})], [], dict)
-        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.got["one"]
+            await scene.origin_storage.append([("config/pay", "routes", {"n": 29})], [], dict)
+        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.handlers["one"]
         await scene.until(subscriber_one.synced.is_set)
         first = subscriber_one.store.version("config/pay")
         await scene.kill("source")
@@ -130,8 +130,8 @@
     async def check(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(5)
-        await scene.kept.append([("config/pay", "routes", {"n": 5})], [], dict)
-        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.got["one"]
+        await scene.origin_storage.append([("config/pay", "routes", {"n": 5})], [], dict)
+        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.handlers["one"]
         await scene.until(subscriber_one.synced.is_set)
         before = subscriber_one.store.version("config/pay")
         await scene.kill("source")
@@ -147,10 +147,10 @@
     async def check(scene: Scene) -> None:
         await fleet(scene, "a1")
         scene.configure(5)
-        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.got["one"]
+        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.handlers["one"]
         await scene.until(subscriber_one.synced.is_set)
         await scene.kill("source")
-        scene.kept, scene.wall_offset = MemoryOriginStorage(remembered=True), -3600.0
+        scene.origin_storage, scene.wall_offset = MemoryOriginStorage(remembered=True), -3600.0
         await scene.origin()
         scene.configure(4)
         await anyio.sleep(60)
@@ -165,10 +165,10 @@
         await fleet(scene, "a1")
         scene.origins[-1].commit(endpoint_changes("pay", 5))
         scene.configure(5)
-        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.got["one"]
+        subscriber_one, received = scene.subscriber("one", ["pay"]), scene.handlers["one"]
         await scene.until(subscriber_one.synced.is_set)
         await scene.kill("source")
-        scene.kept = MemoryOriginStorage(remembered=True, initialize=False)
+        scene.origin_storage = MemoryOriginStorage(remembered=True, initialize=False)
         # The new origin has a higher epoch from its clock, and no state.
         await scene.origin()
         await anyio.sleep(60)
@@ -198,7 +198,7 @@
 def test_origin_refuses_invalid_requests(target: str, fields: dict[str, Any], status: int) -> None:
     async def check(scene: Scene) -> None:
         await scene.origin()
-        client = scene.party("asker", "10.0.8.1", "s")
+        client = scene.add_host("asker", "10.0.8.1", "s")
         body = msgspec.json.encode({"v": 1, **fields})
         assert (await call(client, ORIGIN, "POST", target, body))[0] == status
         assert not scene.origins[-1].store.logs and (await scene.in_force())["zones"] == {}
